--- /dev/null
+++ b/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""An admission gateway and load balancer for a service sold by plan."""
--- a/ivymux/__main__.py
+++ b/gateway/__main__.py
@@ -17,13 +17,13 @@
 
 import uvloop
 
-from ivymux.config import Config, ConfigError, load
-from ivymux.counter import Counter
-from ivymux.discovery import Discovery, Names
-from ivymux.host import Host
-from ivymux.server import Server
-from ivymux.upstream import Upstream
-from orchidhill.gateway import Gateway
+from gateway.config import Config, ConfigError, load
+from gateway.counter.client import Counter
+from gateway.discovery.client import Discovery, Names
+from gateway.frontend.listener import Server
+from gateway.policy.engine import Gateway
+from gateway.policy_driver import Host
+from gateway.upstream.client import Upstream
 
 COUNTER_WAIT = 0.3  # seconds that the start waits for the counter's connections
 LIST_WAIT = 1.0  # seconds that it waits for discovery's list: `known` may be out of date, and the agent down
@@ -31,7 +31,7 @@
 FLUSH = 0.2  # seconds that the last answers have to leave and be read: SIGKILL is that near
 
 
-log = logging.getLogger("ivymux")
+log = logging.getLogger("gateway")
 
 
 class Steady(logging.Filter):
@@ -156,7 +156,7 @@
     try:
         uvloop.run(serve(os.environ))
     except ConfigError as error:
-        print(f"ivymux: {' '.join(str(error).split())}", file=sys.stderr)
+        print(f"gateway: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
     return 0
 
--- a/ivymux/config.py
+++ b/gateway/config.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidhill import interface as i
-from orchidhill.wire import SettingsError, parse_settings
+from gateway.policy import interface as i
+from gateway.settings_parser import SettingsError, parse_settings
 
 # Descriptors kept for others: 14 of the loop, the log and the listener, two agents with all tries out and the
 # counter's lines twice, as both may be moving (39 were seen then), and some that end in the loop's next turn.
--- /dev/null
+++ b/gateway/counter/__init__.py
@@ -0,0 +1,1 @@
+"""The counter service over RESP."""
--- a/ivymux/counter.py
+++ b/gateway/counter/client.py
@@ -12,8 +12,8 @@
 
 import hiredis
 
-from ivymux.config import Address
-from orchidhill.interface import Count, Counted, Outcome
+from gateway.config import Address
+from gateway.policy.interface import Count, Counted, Outcome
 
 LINES = 4  # connections; the counter holds 32 of a front door
 MOST_PENDING = 1000  # calls on one connection that wait for their answers
--- /dev/null
+++ b/gateway/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoint discovery: watches on the agent and the endpoint list."""
--- a/ivymux/discovery.py
+++ b/gateway/discovery/client.py
@@ -13,9 +13,9 @@
 
 import httptools
 
-from ivymux.config import Address, ConfigError, parse_address, plain
-from ivymux.documents import Documents
-from orchidhill.interface import Entry, Listing, Members, State
+from gateway.config import Address, ConfigError, parse_address, plain
+from gateway.discovery.json_stream import Documents
+from gateway.policy.interface import Entry, Listing, Members, State
 
 MOST_LIST = (
     1 << 20
--- /dev/null
+++ b/gateway/frontend/__init__.py
@@ -0,0 +1,1 @@
+"""Clients over HTTP/1.1."""
--- a/ivymux/server.py
+++ b/gateway/frontend/listener.py
@@ -12,10 +12,10 @@
 
 import httptools
 
-from ivymux.config import Config
-from ivymux.host import Answer, Host, Open
-from ivymux.terms import BadRequest, Reader
-from orchidhill import interface as i
+from gateway.config import Config
+from gateway.frontend.request_metadata import BadRequest, Reader
+from gateway.policy import interface as i
+from gateway.policy_driver import Answer, Host, Open
 
 MOST_BODY = 64 * 1024  # bytes of a request's body, by the protocol
 MOST_HEAD = 16 * 1024
--- a/ivymux/terms.py
+++ b/gateway/frontend/request_metadata.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
-from orchidhill import interface as i
-from orchidhill.interface import Effect
+from gateway.policy import interface as i
+from gateway.policy.interface import Effect
 
 CUSTOMERS = 1 << 33
 MOST_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
--- /dev/null
+++ b/gateway/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of an admission gateway: no I/O, no clock, standard library only."""
--- a/orchidhill/pace.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -1,11 +1,11 @@
-"""How many calls a gateway makes to the counter: part of the decisions, see orchidhill/gateway.py."""
+"""How many calls a gateway makes to the counter: part of the decisions, see gateway/policy/engine.py."""
 
 from __future__ import annotations
 
 import math
 
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
+from gateway.policy import interface as i
+from gateway.policy.interface import Outcome
 
 PACE = 800.0  # counter calls a second to begin with, by all gateways
 PACE_LEAST = 60.0  # while it answers nothing: enough to see it come back
--- a/orchidhill/gateway.py
+++ b/gateway/policy/engine.py
@@ -1,4 +1,4 @@
-"""Every decision of the gateway.  Types, events and actions: orchidhill/interface.py.
+"""Every decision of the gateway.  Types, events and actions: gateway/policy/interface.py.
 
 Reading order: tuned values; state; Gateway: admission by lease (GALE), trouble at the counter, backends,
 attempts and final answers, the tick.
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from orchidhill import interface as i
-from orchidhill.interface import Effect, Outcome, Scope, State
-from orchidhill.pace import Pace
-from orchidhill.subset import arc
+from gateway.policy import interface as i
+from gateway.policy.counter_rate_limiter import Pace
+from gateway.policy.interface import Effect, Outcome, Scope, State
+from gateway.policy.subsetting import arc
 
 # Tuned values: seconds, units or plain ratios.
 TICK = 0.025  # how often held work is looked at
--- a/orchidhill/interface.py
+++ b/gateway/policy/interface.py
@@ -1,4 +1,4 @@
-"""The types a host exchanges with :class:`orchidhill.gateway.Gateway`.
+"""The types a host exchanges with :class:`gateway.policy.engine.Gateway`.
 
 A host builds one ``Gateway(settings, seed)``, passes it one event at a time with the current
 time in seconds, and carries out the returned actions in order.  Nothing in here decides.
--- a/orchidhill/subset.py
+++ b/gateway/policy/subsetting.py
@@ -1,4 +1,4 @@
-"""Which backends a gateway keeps to: part of the decisions, see orchidhill/gateway.py."""
+"""Which backends a gateway keeps to: part of the decisions, see gateway/policy/engine.py."""
 
 from __future__ import annotations
 
--- a/ivymux/host.py
+++ b/gateway/policy_driver.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ivymux.config import Address
-from ivymux.counter import Counter
-from ivymux.upstream import Attempt, Result, Upstream
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
-from orchidhill.interface import Outcome, State
+from gateway.config import Address
+from gateway.counter.client import Counter
+from gateway.policy import interface as i
+from gateway.policy.engine import Gateway
+from gateway.policy.interface import Outcome, State
+from gateway.upstream.client import Attempt, Result, Upstream
 
 ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
 GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
--- a/orchidhill/benchlink.py
+++ b/gateway/simulator/adapter.py
@@ -5,45 +5,46 @@
 import sys
 from typing import BinaryIO
 
-from orchidhill import interface as i
-from orchidhill import wire
-from orchidhill.gateway import Gateway
+from gateway.policy import interface as i
+from gateway.policy.engine import Gateway
+from gateway.settings_parser import parse_settings
+from gateway.simulator import codec
 
-Listed = list[i.Action | wire.Fault]
+Listed = list[i.Action | codec.Fault]
 
 
-def answer(gateways: dict[int, Gateway], batch: wire.Batch) -> bytes:
+def answer(gateways: dict[int, Gateway], batch: codec.Batch) -> bytes:
     """Hand a batch's events to their instances and encode what they do."""
     out: dict[int, Listed] = {}
     for instance, event in batch.records:
         listed = out.setdefault(instance, [])
         try:
-            if isinstance(event, wire.Configure):
-                gateways[instance] = Gateway(wire.parse_settings(event.text), event.seed)
-            elif isinstance(event, wire.Crash):
+            if isinstance(event, codec.Configure):
+                gateways[instance] = Gateway(parse_settings(event.text), event.seed)
+            elif isinstance(event, codec.Crash):
                 gateways.pop(instance, None)
                 listed.clear()
             elif instance in gateways:
                 listed.extend(gateways[instance].handle(batch.now, event))
         except Exception as error:  # any failure of the module is reported, none is hidden
-            listed.append(wire.Fault(f"{type(error).__name__}: {error}"))
-    return wire.encode_reply(batch.number, out.items())
+            listed.append(codec.Fault(f"{type(error).__name__}: {error}"))
+    return codec.encode_reply(batch.number, out.items())
 
 
-def read_batch(source: BinaryIO) -> wire.Batch | None:
+def read_batch(source: BinaryIO) -> codec.Batch | None:
     """The next batch, or None at a clean end of input."""
-    head = source.read(wire.HEADER.size)
+    head = source.read(codec.HEADER.size)
     if not head:
         return None
-    if len(head) < wire.HEADER.size:
-        raise wire.WireError("the input ends inside a header")
-    size = wire.HEADER.unpack(head)[1] + wire.LENGTH_END - wire.HEADER.size
+    if len(head) < codec.HEADER.size:
+        raise codec.WireError("the input ends inside a header")
+    size = codec.HEADER.unpack(head)[1] + codec.LENGTH_END - codec.HEADER.size
     if size < 0:
-        raise wire.WireError("the batch's length is shorter than its header")
+        raise codec.WireError("the batch's length is shorter than its header")
     body = source.read(size)
     if len(body) < size:
-        raise wire.WireError("the input ends inside a batch")
-    return wire.decode_batch(head, body)
+        raise codec.WireError("the input ends inside a batch")
+    return codec.decode_batch(head, body)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
@@ -56,8 +57,8 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as error:
-        print(f"benchlink: {error}", file=sys.stderr)
+    except codec.WireError as error:
+        print(f"simulator adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- /dev/null
+++ b/gateway/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints and the attempts on them."""
--- a/ivymux/upstream.py
+++ b/gateway/upstream/client.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from ivymux.config import Address
-from orchidhill.interface import Outcome
+from gateway.config import Address
+from gateway.policy.interface import Outcome
 
 MOST_BODY = 64 * 1024  # of an answer, by the protocol
 MOST_HEAD = 16 * 1024  # with those of interim answers
--- a/ivymux/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""ivymux: an admission gateway and load balancer on real sockets around orchidhill's decisions."""
--- a/fleetlab/__main__.py
+++ b/scaletest/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: `python -m fleetlab slope NAME`, then `python -m fleetlab report`."""
+"""The command line: `python -m scaletest slope NAME`, then `python -m scaletest report`."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import structlog
 import typer
 
-from fleetlab import membership, report, result
-from fleetlab.scenario import ScenarioError, load
+from scaletest import membership, report, result
+from scaletest.scenario import ScenarioError, load
 
 RESULTS = Path("results")
 SLOPES = {"membership": membership}  # by the scenario's name
@@ -19,7 +19,7 @@
 
 
 def fail(text: str) -> NoReturn:
-    typer.echo(f"fleetlab: {' '.join(text.split())}", err=True)
+    typer.echo(f"scaletest: {' '.join(text.split())}", err=True)
     raise typer.Exit(2)
 
 
--- a/fleetlab/hollow.py
+++ b/scaletest/hollow_gateway.py
@@ -7,9 +7,9 @@
 
 import numpy as np
 
-from fleetlab.scenario import Scenario, Size
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
+from gateway.policy import interface as i
+from gateway.policy.engine import Gateway
+from scaletest.scenario import Scenario, Size
 
 START = 1_000_000.0  # seconds: the emulated clock begins there
 LATENCY = 0.05  # seconds in which an emulated server answers
--- a/fleetlab/membership.py
+++ b/scaletest/membership.py
@@ -12,11 +12,11 @@
 import numpy as np
 import structlog
 
-from fleetlab import hollow
-from fleetlab.result import Point
-from fleetlab.scenario import Scenario, Size
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
+from gateway.policy import interface as i
+from gateway.policy.engine import Gateway
+from scaletest import hollow_gateway
+from scaletest.result import Point
+from scaletest.scenario import Scenario, Size
 
 # What is measured: figure, unit.
 FIGURES = {
@@ -48,36 +48,36 @@
     asked = i.Request(number, 0, 0, number, 1.5, 1.0, 1, 0, False, False)
     for action in made.handle(now, asked):
         if isinstance(action, i.Send):
-            took = hollow.LATENCY
+            took = hollow_gateway.LATENCY
             made.handle(now + took, i.Finished(number, 0, action.backend, i.Outcome.OK, True, took, 0, 0, ()))
 
 
 def measure(size: Size, scenario: Scenario) -> Point:
     """All figures of the slope at one size."""
     random = np.random.default_rng([scenario.seed, size.servers])
-    entries = hollow.servers(size, scenario, random)
-    now = hollow.START
+    entries = hollow_gateway.servers(size, scenario, random)
+    now = hollow_gateway.START
 
     def listed(made: Gateway) -> None:
         made.handle(now, i.Members(i.Listing.FULL, 1, entries))
 
     few = max(3, scenario.repeats // 8)
-    first = median(lambda me: partial(listed, hollow.front_door(size, scenario, me)), few)
-    made = hollow.front_door(size, scenario)
+    first = median(lambda me: partial(listed, hollow_gateway.front_door(size, scenario, me)), few)
+    made = hollow_gateway.front_door(size, scenario)
     listed(made)
     whole = median(lambda _: partial(listed, made), few)
 
     def change(number: int) -> Callable[[], object]:
         """A server begins to drain, and is ready again with the next change."""
         if number % 2 == 0:
-            drains.append(hollow.drained(entries, random))
+            drains.append(hollow_gateway.drained(entries, random))
         told = drains[-1] if number % 2 == 0 else replace(drains[-1], state=i.State.READY)
         return partial(made.handle, now, i.Members(i.Listing.DELTA, number + 2, (told,)))
 
     drains: list[i.Entry] = []
     one = median(change, scenario.repeats)
     listed(made)
-    pause = 2 * hollow.LATENCY
+    pause = 2 * hollow_gateway.LATENCY
     asked = median(
         lambda number: partial(request, made, number, now + (number + 1) * pause), 10 * scenario.repeats
     )
@@ -90,7 +90,7 @@
             "first": first * 1e3,
             "request": asked * 1e6,
             "memory": memory(size, scenario, entries) / size.servers,
-            "list": float(hollow.list_bytes(entries)),
+            "list": float(hollow_gateway.list_bytes(entries)),
         },
     )
     log.info("measured", servers=size.servers, doors=size.doors, **point.figures)
@@ -102,9 +102,9 @@
     gc.collect()
     tracemalloc.start()
     try:
-        made = hollow.front_door(size, scenario)
+        made = hollow_gateway.front_door(size, scenario)
         before, _ = tracemalloc.get_traced_memory()
-        made.handle(hollow.START, i.Members(i.Listing.FULL, 1, entries))
+        made.handle(hollow_gateway.START, i.Members(i.Listing.FULL, 1, entries))
         made.actions = []
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
--- a/fleetlab/report.py
+++ b/scaletest/report.py
@@ -9,7 +9,7 @@
 matplotlib.use("Agg")  # no display is needed
 from matplotlib import pyplot
 
-from fleetlab.result import Fit, Result, fit
+from scaletest.result import Fit, Result, fit
 
 
 def table(result: Result) -> str:
--- a/fleetlab/result.py
+++ b/scaletest/result.py
@@ -12,7 +12,7 @@
 import psutil
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from fleetlab.scenario import Scenario, ScenarioError
+from scaletest.scenario import Scenario, ScenarioError
 
 
 class Point(BaseModel):
--- a/tests/test_counter.py
+++ b/tests/counter/test_client.py
@@ -7,11 +7,10 @@
 
 import pytest
 
-from ivymux.config import parse_address
-from ivymux.counter import DEAD_AFTER, LINES, MOST_PENDING, Counter
-from orchidhill.interface import Count, Counted, Outcome
-
-from .sockets import Tally, listening, run, until
+from gateway.config import parse_address
+from gateway.counter.client import DEAD_AFTER, LINES, MOST_PENDING, Counter
+from gateway.policy.interface import Count, Counted, Outcome
+from tests.support.sockets import Tally, listening, run, until
 
 
 def start(dial: str, timeout: float = 0.08) -> tuple[Counter, list[Counted]]:
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_client.py
@@ -11,12 +11,11 @@
 
 import pytest
 
-from ivymux import discovery
-from ivymux.config import Address, parse_address
-from ivymux.discovery import Discovery, Names, backend_id
-from orchidhill.interface import Listing, Members, State
-
-from .sockets import Agent, host_line, http_answer, listening, run, until
+from gateway.config import Address, parse_address
+from gateway.discovery import client as discovery
+from gateway.discovery.client import Discovery, Names, backend_id
+from gateway.policy.interface import Listing, Members, State
+from tests.support.sockets import Agent, host_line, http_answer, listening, run, until
 
 Heard = list[tuple[Members, dict[int, Address]]]
 
--- a/tests/test_clients.py
+++ b/tests/frontend/test_client_connection.py
@@ -8,11 +8,20 @@
 
 import pytest
 
-from ivymux import server
-from ivymux.server import FLOOD
-from orchidhill import interface as i
-
-from .sockets import Backend, Client, front_door, http_answer, listening, read_message, run, send_on, until
+from gateway.frontend import listener
+from gateway.frontend.listener import FLOOD
+from gateway.policy import interface as i
+from tests.support.sockets import (
+    Backend,
+    Client,
+    front_door,
+    http_answer,
+    listening,
+    read_message,
+    run,
+    send_on,
+    until,
+)
 
 
 # Guards the module and customers' quotas against terms that the protocol or the settings do not allow.
@@ -112,8 +121,8 @@
 def test_who_does_not_ask_in_time_gets_an_error_or_a_close(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "READ_TIMEOUT", 0.1)
-    monkeypatch.setattr(server, "SWEEP", 0.02)
+    monkeypatch.setattr(listener, "READ_TIMEOUT", 0.1)
+    monkeypatch.setattr(listener, "SWEEP", 0.02)
 
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
@@ -146,8 +155,8 @@
 
 
 def test_who_does_not_close_behind_an_error_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "LINGER", 0.1)
-    monkeypatch.setattr(server, "SWEEP", 0.02)
+    monkeypatch.setattr(listener, "LINGER", 0.1)
+    monkeypatch.setattr(listener, "SWEEP", 0.02)
 
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=send_on) as (door, _), Client(door.server) as client:
@@ -159,7 +168,7 @@
 
 # Guards usual clients against hundreds of connections that say nothing.
 def test_silent_connections_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "SILENT_AFTER", 0.0)
+    monkeypatch.setattr(listener, "SILENT_AFTER", 0.0)
 
     async def test() -> None:
         backend = Backend(lambda message: http_answer())
@@ -214,8 +223,8 @@
 
 # Guards new usual clients against a table full of connections that asked once and stay: the incident r76ab84.
 def test_idle_connections_end_early_once_the_table_is_half_full(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "SETTLED_AFTER", 0.1)
-    monkeypatch.setattr(server, "SWEEP", 0.02)
+    monkeypatch.setattr(listener, "SETTLED_AFTER", 0.1)
+    monkeypatch.setattr(listener, "SWEEP", 0.02)
 
     async def test() -> None:
         backend = Backend(lambda message: http_answer())
--- a/tests/test_membership.py
+++ b/tests/policy/test_endpoints.py
@@ -9,12 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidhill import interface as i
-from orchidhill.gateway import RATE_SPAN, Backend, Gateway, mix
-from orchidhill.subset import arc
-from orchidhill.wire import parse_settings
-
-from .helpers import START, done, entry, request, sends, text
+from gateway.policy import interface as i
+from gateway.policy.engine import RATE_SPAN, Backend, Gateway, mix
+from gateway.policy.subsetting import arc
+from gateway.settings_parser import parse_settings
+from tests.support.policy import START, done, entry, request, sends, text
 
 SETTINGS = {"peers_total": "40", "tariffs__0__quota_rate": "0"}
 
--- a/tests/test_gateway.py
+++ b/tests/policy/test_engine.py
@@ -12,10 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidhill import interface as i
-from orchidhill.gateway import FIRST_LATENCY, FORGET, PATIENCE, TICK, Gateway, Lease, mix
-
-from .helpers import START, Counter, done, entry, gateway, play, request, sends
+from gateway.policy import interface as i
+from gateway.policy.engine import FIRST_LATENCY, FORGET, PATIENCE, TICK, Gateway, Lease, mix
+from tests.support.policy import START, Counter, done, entry, gateway, play, request, sends
 
 Step = tuple[float, int]
 
--- a/tests/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -7,10 +7,9 @@
 
 import pytest
 
-from orchidhill import interface as i
-from orchidhill.gateway import TICK
-
-from .helpers import START, Counter, done, gateway, play, request, sends
+from gateway.policy import interface as i
+from gateway.policy.engine import TICK
+from tests.support.policy import START, Counter, done, gateway, play, request, sends
 
 GATEWAYS, WIDTH, CUSTOMERS, SECONDS = 12, 6, 60, 20
 RATE, BURST = 4.0, 8.0  # of the helpers' first plan
--- a/tests/test_cold.py
+++ b/tests/policy/test_slow_start.py
@@ -10,10 +10,9 @@
 
 import pytest
 
-from orchidhill import interface as i
-from orchidhill.gateway import TICK, Gateway
-
-from .helpers import START, done, entry, gateway, request, sends
+from gateway.policy import interface as i
+from gateway.policy.engine import TICK, Gateway
+from tests.support.policy import START, done, entry, gateway, request, sends
 
 COLD_SHARE, WARM_UP = 0.2, 10.0  # the helpers' rules
 COUNT = 40  # backends
--- a/tests/test_subset.py
+++ b/tests/policy/test_subsetting.py
@@ -9,11 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidhill import interface as i
-from orchidhill.gateway import Backend, Job
-from orchidhill.subset import LEAST_BACKENDS, LEAST_SHARERS, arc, place
-
-from .helpers import START, Counter, done, entry, gateway, play, request, sends
+from gateway.policy import interface as i
+from gateway.policy.engine import Backend, Job
+from gateway.policy.subsetting import LEAST_BACKENDS, LEAST_SHARERS, arc, place
+from tests.support.policy import START, Counter, done, entry, gateway, play, request, sends
 
 
 @pytest.mark.parametrize(("peers", "count"), [(40, 60), (40, 96), (17, 60), (100, 31)])
--- a/tests/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -10,13 +10,12 @@
 
 import pytest
 
-from ivymux import upstream
-from ivymux.__main__ import FrontDoor
-from ivymux.server import Client as Connection
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
-
-from .sockets import (
+from gateway.__main__ import FrontDoor
+from gateway.frontend.listener import Client as Connection
+from gateway.policy import interface as i
+from gateway.policy.interface import Outcome
+from gateway.upstream import client as upstream
+from tests.support.sockets import (
     FIRST,
     Agent,
     Backend,
@@ -296,7 +295,7 @@
 # Guards against the end of the process on half a request: once its end is written it counts as taken.
 @pytest.mark.parametrize("whole", [True, False])
 def test_half_a_request_is_answered_before_the_end(whole: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ivymux.__main__.LINGER", 0.0)
+    monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
 
     async def test() -> None:
         backend = Backend()
@@ -323,8 +322,8 @@
 
 # Guards against an end that cuts off the last answers of clients that read slowly.
 def test_the_end_waits_for_answers_that_have_not_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ivymux.__main__.LINGER", 0.0)
-    monkeypatch.setattr("ivymux.__main__.FLUSH", 0.1)
+    monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
+    monkeypatch.setattr("gateway.__main__.FLUSH", 0.1)
 
     async def test() -> None:
         body = b"x" * 60_000
--- a/tests/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -13,11 +13,10 @@
 from functools import partial
 from pathlib import Path
 
-from ivymux.config import OTHER_SOCKETS
-from ivymux.counter import LINES
-from ivymux.discovery import MOST_TRIES
-
-from .sockets import (
+from gateway.config import OTHER_SOCKETS
+from gateway.counter.client import LINES
+from gateway.discovery.client import MOST_TRIES
+from tests.support.sockets import (
     Agent,
     Backend,
     Message,
@@ -30,6 +29,7 @@
     run,
     until,
 )
+
 from .test_start import running
 
 SOCKETS = 160  # of the front door: its own limit and the system's
--- a/tests/test_frontdoor.py
+++ b/tests/process/test_gateway.py
@@ -11,12 +11,11 @@
 
 import pytest
 
-from ivymux.server import IDLE_TIMEOUT, MOST_BODY, MOST_HEAD, MOST_PIPELINED
-from orchidhill import interface as i
-from orchidhill.gateway import WINDOW, mix
-from orchidhill.interface import Outcome
-
-from .sockets import (
+from gateway.frontend.listener import IDLE_TIMEOUT, MOST_BODY, MOST_HEAD, MOST_PIPELINED
+from gateway.policy import interface as i
+from gateway.policy.engine import WINDOW, mix
+from gateway.policy.interface import Outcome
+from tests.support.sockets import (
     FIRST,
     Backend,
     Client,
--- a/tests/test_start.py
+++ b/tests/process/test_start.py
@@ -16,9 +16,8 @@
 
 import pytest
 
-from ivymux.counter import LINES
-
-from .sockets import (
+from gateway.counter.client import LINES
+from tests.support.sockets import (
     Agent,
     Backend,
     Tally,
@@ -47,7 +46,7 @@
     port = free_port()
     env = dict(os.environ) | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}"}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "ivymux", env=env, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "gateway", env=env, stderr=asyncio.subprocess.PIPE
     )
     if sockets is not None:
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
--- a/tests/test_fleetlab.py
+++ b/tests/scaletest/test_scaletest.py
@@ -9,11 +9,11 @@
 import pytest
 from typer.testing import CliRunner
 
-from fleetlab import hollow, membership, result
-from fleetlab.__main__ import app
-from fleetlab.result import Point
-from fleetlab.scenario import MOST_SERVERS, SCENARIOS, Scenario, ScenarioError, Size, load
-from orchidhill import interface as i
+from gateway.policy import interface as i
+from scaletest import hollow_gateway, membership, result
+from scaletest.__main__ import app
+from scaletest.result import Point
+from scaletest.scenario import MOST_SERVERS, SCENARIOS, Scenario, ScenarioError, Size, load
 
 SMALL = """
 name = "membership"
@@ -85,7 +85,7 @@
     size = Size(servers=2000, doors=5)
 
     def drawn(seed: int) -> tuple[i.Entry, ...]:
-        return hollow.servers(size, made, np.random.default_rng(seed))
+        return hollow_gateway.servers(size, made, np.random.default_rng(seed))
 
     assert drawn(1) == drawn(1) != drawn(2)
     assert len({entry.backend for entry in drawn(1)}) == 2000
@@ -95,12 +95,15 @@
 def test_a_hollow_front_door_serves_what_it_is_asked(tmp_path: Path) -> None:
     made = load(scenario(tmp_path / "it.toml"))
     size = made.sizes[0]
-    entries = hollow.servers(size, made, np.random.default_rng(1))
-    door = hollow.front_door(size, made)
-    door.handle(hollow.START, i.Members(i.Listing.FULL, 1, entries))
+    entries = hollow_gateway.servers(size, made, np.random.default_rng(1))
+    door = hollow_gateway.front_door(size, made)
+    door.handle(hollow_gateway.START, i.Members(i.Listing.FULL, 1, entries))
     for number in range(50):
-        membership.request(door, number, hollow.START + 1 + number)
-    assert not door.jobs and sum(backend.answered > hollow.START for backend in door.backends.values()) > 5
+        membership.request(door, number, hollow_gateway.START + 1 + number)
+    assert (
+        not door.jobs
+        and sum(backend.answered > hollow_gateway.START for backend in door.backends.values()) > 5
+    )
 
 
 # Guards the tool as a whole: what a slope saves, a report reads; its figures are those measured.
--- a/tests/test_wire.py
+++ b/tests/simulator/test_codec.py
@@ -9,23 +9,23 @@
 
 import pytest
 
-from orchidhill import benchlink, wire
-from orchidhill import interface as i
-
-from .helpers import text
+from gateway.policy import interface as i
+from gateway.settings_parser import SettingsError, parse_settings
+from gateway.simulator import adapter, codec
+from tests.support.policy import text
 
 CLOCK = struct.unpack("<d", bytes.fromhex("508d976e12d32040"))[0]
 
 
-def batch(hexed: str) -> wire.Batch:
+def batch(hexed: str) -> codec.Batch:
     data = bytes.fromhex(hexed)
-    return wire.decode_batch(data[: wire.HEADER.size], data[wire.HEADER.size :])
+    return codec.decode_batch(data[: codec.HEADER.size], data[codec.HEADER.size :])
 
 
-def one(record: str) -> i.Event | wire.Configure | wire.Crash:
+def one(record: str) -> i.Event | codec.Configure | codec.Crash:
     body = bytes.fromhex("0c03000000" + record)
-    head = wire.HEADER.pack(2, len(body) + 12, 1.0, 1)
-    (found,) = wire.decode_batch(head, body).records
+    head = codec.HEADER.pack(2, len(body) + 12, 1.0, 1)
+    (found,) = codec.decode_batch(head, body).records
     assert found[0] == 3
     return found[1]
 
@@ -33,7 +33,7 @@
 def test_empty_batch_and_reply() -> None:
     got = batch("000000000c000000508d976e12d3204001000000")
     assert (got.now, got.number, got.records) == (CLOCK, 1, [])
-    assert wire.encode_reply(1, []).hex() == "080000000000000001000000"
+    assert codec.encode_reply(1, []).hex() == "080000000000000001000000"
 
 
 def test_published_batch_of_two_instances() -> None:
@@ -51,12 +51,12 @@
 
 
 def test_published_reply() -> None:
-    sent: list[i.Action | wire.Fault] = [
+    sent: list[i.Action | codec.Fault] = [
         i.Send(0x893B25D3A91C4, 0x03124A07, 0.08),
         i.SetTimer(struct.unpack("<d", bytes.fromhex("508d976e12d32140"))[0], 77),
         i.Log("two servers unknown"),
     ]
-    assert wire.encode_reply(12, [(3, sent), (4, [])]).hex() == (
+    assert codec.encode_reply(12, [(3, sent), (4, [])]).hex() == (
         "49000000040000000c0000000e0300000001c4913a5db2930800074a12037b14ae47e17ab43f"
         "05508d976e12d321404d000000000000000913007477"
         "6f207365727665727320756e6b6e6f776e"
@@ -73,7 +73,7 @@
         ("06192b6f0ea8d80100", i.Left(0x1D8A80E6F2B19)),
         ("074d00000000000000", i.Fired(77)),
         ("09020004006869 2037", i.PeerSays(2, b"hi 7")),
-        ("0a", wire.Crash()),
+        ("0a", codec.Crash()),
     ],
 )
 def test_published_records(record: str, event: object) -> None:
@@ -114,11 +114,11 @@
         ),
         (i.Watch(True), "0b01"),
         (i.Pull(), "0c"),
-        (wire.Fault("index out of range"), "0a1200696e646578206f7574206f662072616e6765"),
+        (codec.Fault("index out of range"), "0a1200696e646578206f7574206f662072616e6765"),
     ],
 )
-def test_actions(action: i.Action | wire.Fault, hexed: str) -> None:
-    assert wire.encode_action(action) == bytes.fromhex(hexed)
+def test_actions(action: i.Action | codec.Fault, hexed: str) -> None:
+    assert codec.encode_action(action) == bytes.fromhex(hexed)
 
 
 @pytest.mark.parametrize(
@@ -132,19 +132,19 @@
 )
 def test_impossible_frames_end_the_adapter_with_one_line(hexed: str) -> None:
     run = subprocess.run(
-        [sys.executable, "-m", "orchidhill.benchlink"],
+        [sys.executable, "-m", "gateway.simulator.adapter"],
         input=bytes.fromhex(hexed),
         capture_output=True,
         check=False,
     )
     assert run.returncode == 1 and run.stdout == b""
-    assert run.stderr.startswith(b"benchlink: ") and run.stderr.count(b"\n") == 1
+    assert run.stderr.startswith(b"simulator adapter: ") and run.stderr.count(b"\n") == 1
 
 
 def test_end_of_input_is_clean_and_inside_a_frame_is_not() -> None:
-    assert benchlink.read_batch(io.BytesIO(b"")) is None
-    with pytest.raises(wire.WireError, match="header"):
-        benchlink.read_batch(io.BytesIO(b"\0" * 7))
+    assert adapter.read_batch(io.BytesIO(b"")) is None
+    with pytest.raises(codec.WireError, match="header"):
+        adapter.read_batch(io.BytesIO(b"\0" * 7))
 
 
 @pytest.mark.parametrize(
@@ -157,16 +157,16 @@
     ],
 )
 def test_malformed_settings_name_the_key(changes: dict[str, str], key: str) -> None:
-    with pytest.raises(wire.SettingsError, match=key):
-        wire.parse_settings(text(**changes))
+    with pytest.raises(SettingsError, match=key):
+        parse_settings(text(**changes))
 
 
 def test_missing_settings_name_the_key_and_unknown_ones_are_skipped() -> None:
-    with pytest.raises(wire.SettingsError, match=r"rules\.fall_s"):
-        wire.parse_settings(text().replace("rules.fall_s", "rules.other"))
-    assert wire.parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
+    with pytest.raises(SettingsError, match=r"rules\.fall_s"):
+        parse_settings(text().replace("rules.fall_s", "rules.other"))
+    assert parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
 
 
 def test_a_failing_module_is_reported_as_fault() -> None:
-    reply = benchlink.answer({}, wire.Batch(1.0, 9, [(3, wire.Configure(1, "me=0"))]))
+    reply = adapter.answer({}, codec.Batch(1.0, 9, [(3, codec.Configure(1, "me=0"))]))
     assert b"SettingsError: missing setting" in reply and reply[17] == 10
--- a/tests/helpers.py
+++ b/tests/support/policy.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from orchidhill import interface as i
-from orchidhill.gateway import Gateway
-from orchidhill.wire import parse_settings
+from gateway.policy import interface as i
+from gateway.policy.engine import Gateway
+from gateway.settings_parser import parse_settings
 
 BASE = {
     "me": "0",
--- a/tests/sockets.py
+++ b/tests/support/sockets.py
@@ -11,13 +11,12 @@
 
 import uvloop
 
-from ivymux.__main__ import FrontDoor
-from ivymux.config import Config, parse
-from ivymux.server import Server
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
-
-from .helpers import BASE
+from gateway.__main__ import FrontDoor
+from gateway.config import Config, parse
+from gateway.frontend.listener import Server
+from gateway.policy import interface as i
+from gateway.policy.interface import Outcome
+from tests.support.policy import BASE
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,11 +11,10 @@
 
 import pytest
 
-from ivymux.config import OTHER_SOCKETS, Address, Bounds, ConfigError, parse
-from orchidhill.wire import parse_settings
-
-from .helpers import text
-from .sockets import config_text
+from gateway.config import OTHER_SOCKETS, Address, Bounds, ConfigError, parse
+from gateway.settings_parser import parse_settings
+from tests.support.policy import text
+from tests.support.sockets import config_text
 
 
 def test_nested_settings_read_as_the_simulators_do() -> None:
@@ -65,10 +64,10 @@
         path.write_text(content)
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | {"NODE_CONFIG": str(path)}
     done = subprocess.run(
-        [sys.executable, "-m", "ivymux"], env=env, capture_output=True, text=True, timeout=20, check=False
+        [sys.executable, "-m", "gateway"], env=env, capture_output=True, text=True, timeout=20, check=False
     )
     assert done.returncode == 2 and not done.stdout
-    assert done.stderr.startswith("ivymux: ") and done.stderr.count("\n") == 1
+    assert done.stderr.startswith("gateway: ") and done.stderr.count("\n") == 1
 
 
 # Guards against bounds that leave too little of a small machine: clients hold a third of the descriptors for
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULE = ROOT / "orchidhill" / "gateway.py"
-POLICY = [MODULE, *(ROOT / "orchidhill" / name for name in ("pace.py", "subset.py"))]
+POLICY_PACKAGE = ROOT / "gateway" / "policy"
+MODULE = POLICY_PACKAGE / "engine.py"
+POLICY = [MODULE, *(POLICY_PACKAGE / name for name in ("counter_rate_limiter.py", "subsetting.py"))]
 MOST_LINES = 1200  # of all policy files, blank ones not counted: the operators run no longer module
 
 
@@ -18,7 +19,7 @@
     texts = [path.read_text().splitlines() for path in POLICY]
     assert sum(1 for lines in texts for line in lines if line.strip()) <= MOST_LINES
     assert max(len(line) for lines in texts for line in lines) <= 110
-    assert "orchidhill/interface.py" in texts[0][0]
+    assert "gateway/policy/interface.py" in texts[0][0]
 
 
 def test_the_module_imports_the_standard_library_and_the_interface_only() -> None:
@@ -29,15 +30,14 @@
         elif isinstance(node, ast.ImportFrom):
             names.add(node.module or "")
     outside = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names and n != "__future__"}
-    own = {f"orchidhill.{path.stem}" for path in POLICY}
-    assert outside <= {"orchidhill", "orchidhill.interface"} | own
+    own = {f"gateway.policy.{path.stem}" for path in POLICY}
+    assert outside <= {"gateway.policy.interface"} | own
     assert not names & {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 
 def test_the_readme_example_runs() -> None:
-    from orchidhill import interface as i
-
-    from .helpers import text
+    from gateway.policy import interface as i
+    from tests.support.policy import text
 
     (example,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     space: dict[str, object] = {}
@@ -49,4 +49,5 @@
 
 def test_the_deploy_file_names_the_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert [ROOT / path for path in deploy["policy"]] == POLICY and "orchidhill.benchlink" in deploy["sim"]
+    assert [ROOT / path for path in deploy["policy"]] == POLICY
+    assert "gateway.simulator.adapter" in deploy["sim"]
--- a/tests/test_upstream.py
+++ b/tests/upstream/test_client.py
@@ -10,11 +10,10 @@
 
 import pytest
 
-from ivymux import upstream
-from orchidhill import interface as i
-from orchidhill.interface import Outcome
-
-from .sockets import (
+from gateway.policy import interface as i
+from gateway.policy.interface import Outcome
+from gateway.upstream import client as upstream
+from tests.support.sockets import (
     FIRST,
     Backend,
     Client,
