--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -18,12 +18,12 @@
 import uvloop
 
 from gateway.config import Config, ConfigError, load
-from gateway.counter.client import Counter
-from gateway.discovery.client import Discovery, Names
-from gateway.frontend.listener import Server
-from gateway.policy.engine import Gateway
-from gateway.policy_driver import Host
-from gateway.upstream.client import Upstream
+from gateway.counter.client import CounterClient
+from gateway.discovery.client import DiscoveryClient, EndpointDecoder
+from gateway.frontend.listener import Listener
+from gateway.policy.engine import Policy
+from gateway.policy_driver import PolicyDriver
+from gateway.upstream.client import UpstreamClient
 
 COUNTER_WAIT = 0.3  # seconds that the start waits for the counter's connections
 LIST_WAIT = 1.0  # seconds that it waits for discovery's list: `known` may be out of date, and the agent down
@@ -34,7 +34,7 @@
 log = logging.getLogger("gateway")
 
 
-class Steady(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Bounds what is logged in a second: an error that comes with every request must not fill the log."""
 
     MOST = 50
@@ -51,28 +51,28 @@
         return self.seen <= self.MOST
 
 
-class FrontDoor:
+class GatewayProcess:
     """The parts of one front door, wired together."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
         settings = config.settings
-        upstream = Upstream(
+        upstream = UpstreamClient(
             settings.limits.connect_timeout, config.conn_idle, settings.report_columns, config.bounds.upstream
         )
-        host = self.host = Host(Gateway(settings, config.seed), upstream)
+        host = self.host = PolicyDriver(Policy(settings, config.seed), upstream)
         if settings.has_counter and config.counter is not None:
-            host.counter = Counter(config.counter, settings.counter_timeout, host.post)
-        names = Names(settings.zones, config.kinds)
+            host.counter = CounterClient(config.counter, settings.counter_timeout, host.post)
+        names = EndpointDecoder(settings.zones, config.kinds)
         if config.known:
             try:
                 members, addresses = names.members(config.known, cached=True)
             except (KeyError, TypeError, ValueError) as error:
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             host.members(members, addresses)
-        self.discovery = Discovery(config.discovery, names, host.members)
+        self.discovery = DiscoveryClient(config.discovery, names, host.members)
         self.list_wait = LIST_WAIT
-        self.server = Server(config, host)
+        self.server = Listener(config, host)
         # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
         self.drain_time = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
 
@@ -129,7 +129,7 @@
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
-    doors: list[FrontDoor] = []
+    doors: list[GatewayProcess] = []
 
     def reload() -> None:
         for door in doors:
@@ -137,7 +137,7 @@
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     config = load(env)
-    door = FrontDoor(config)
+    door = GatewayProcess(config)
     doors.append(door)
     try:
         await door.start()
@@ -152,7 +152,7 @@
 def main() -> int:
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Steady())
+        handler.addFilter(LogRateLimit())
     try:
         uvloop.run(serve(os.environ))
     except ConfigError as error:
--- a/gateway/config.py
+++ b/gateway/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from gateway.policy import interface as i
+from gateway.policy.settings import Settings
 from gateway.settings_parser import SettingsError, parse_settings
 
 # Descriptors kept for others: 14 of the loop, the log and the listener, two agents with all tries out and the
@@ -52,7 +52,7 @@
     bounds: Bounds
     most_units: float  # of one request
     known: dict[str, Any]  # the list of backends as this front door last had it, in discovery's form
-    settings: i.Settings
+    settings: Settings
     kinds: tuple[str, ...]
     conn_idle: float  # seconds after which a backend closes an idle connection
 
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -13,7 +13,8 @@
 import hiredis
 
 from gateway.config import Address
-from gateway.policy.interface import Count, Counted, Outcome
+from gateway.policy.actions import AddToCounter
+from gateway.policy.events import CounterReply, Outcome
 
 LINES = 4  # connections; the counter holds 32 of a front door
 MOST_PENDING = 1000  # calls on one connection that wait for their answers
@@ -27,26 +28,26 @@
 log = logging.getLogger(__name__)
 
 
-class Call:
+class CounterCall:
     __slots__ = ("began", "count", "line", "settled")
 
-    def __init__(self, count: Count | None, began: float, line: Line) -> None:
+    def __init__(self, count: AddToCounter | None, began: float, line: CounterConnection) -> None:
         self.count = count  # None for a PING
         self.began = began
         self.line = line
         self.settled = count is None  # the module has had its answer
 
 
-class Line(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection, with the calls written to it in the order in which their answers come."""
 
-    def __init__(self, owner: Counter, address: Address) -> None:
+    def __init__(self, owner: CounterClient, address: Address) -> None:
         self.owner, self.address = owner, address
-        self.before: Line | None = None  # whose place this one took and whose calls come first
-        self.heir: Line | None = None  # that took this one's place
+        self.before: CounterConnection | None = None  # whose place this one took and whose calls come first
+        self.heir: CounterConnection | None = None  # that took this one's place
         self.transport: asyncio.Transport | None = None
-        self.calls: deque[Call] = deque()  # written
-        self.held: deque[Call] = deque()  # to be written once the connection is up
+        self.calls: deque[CounterCall] = deque()  # written
+        self.held: deque[CounterCall] = deque()  # to be written once the connection is up
         self.connecting = False
         self.unsent = False  # whether written bytes still wait in this process
         self.heard = 0.0
@@ -56,10 +57,10 @@
 
     # --- calls -------------------------------------------------------------------------------------
 
-    def call(self, count: Count, now: float) -> None:
-        call = Call(count, now, self)
+    def call(self, count: AddToCounter, now: float) -> None:
+        call = CounterCall(count, now, self)
         if len(self.calls) + len(self.held) >= MOST_PENDING:
-            self.owner.settle(call, Outcome.FULL)
+            self.owner.settle(call, Outcome.OVERLOADED)
             return
         if self.transport is None and not self.connecting:  # refused a moment ago; it tries again shortly
             self.owner.settle(call, Outcome.CONNECT_FAILED)
@@ -80,7 +81,7 @@
         while self.held and self.open():
             self.write(self.held.popleft())
 
-    def write(self, call: Call) -> None:
+    def write(self, call: CounterCall) -> None:
         assert self.transport is not None
         if not self.calls:
             self.heard = time.monotonic()
@@ -89,11 +90,11 @@
         if count is None:
             self.transport.write(b"*1\r\n$4\r\nPING\r\n")
             return
-        life = max(1, min(60_000, round(count.expires * 1000)))
+        life = max(1, min(60_000, round(count.expires_after * 1000)))
         command = ("TALLY", str(count.name), f"{count.amount:.6f}", str(life))
         self.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]  # any length is taken
 
-    def expire(self, call: Call) -> None:
+    def expire(self, call: CounterCall) -> None:
         if call in self.held:
             self.held.remove(call)  # never written, so it can never be added
             self.owner.settle(call, Outcome.CONNECT_FAILED)
@@ -102,7 +103,7 @@
             self.owner.settle(call, Outcome.TIMEOUT)
         self.retire()
 
-    def give_way(self, heir: Line) -> None:
+    def give_way(self, heir: CounterConnection) -> None:
         """Another line takes this one's place: what is out here ends here, what was not written moves."""
         self.heir, heir.before = heir, self
         heir.held, self.held = self.held, deque()
@@ -195,12 +196,12 @@
                 self.transport.abort()
         self.retire()
 
-    def answer(self, call: Call, reply: Any) -> None:
+    def answer(self, call: CounterCall, reply: Any) -> None:
         """Settle one call.  An answer that is none raises: it is not known what the next ones belong to."""
         if isinstance(reply, hiredis.ReplyError):
             if not str(reply).startswith("BUSY"):
                 log.warning("counter: %.80s", reply)
-            self.owner.settle(call, Outcome.FULL)  # nothing was added
+            self.owner.settle(call, Outcome.OVERLOADED)  # nothing was added
         elif call.count is None:
             if reply != b"PONG":
                 raise hiredis.ProtocolError(f"not an answer to PING: {reply!r:.40}")
@@ -216,22 +217,22 @@
         if self.calls and now - self.heard > DEAD_AFTER:
             self.transport.abort()
         elif not self.calls and now - self.heard > PING_AFTER:
-            self.write(Call(None, now, self))
+            self.write(CounterCall(None, now, self))
 
 
-class Counter:
+class CounterClient:
     """Calls by name: those of one name share a connection, so their answers come in their order."""
 
-    def __init__(self, address: Address, timeout: float, done: Callable[[Counted], None]) -> None:
+    def __init__(self, address: Address, timeout: float, done: Callable[[CounterReply], None]) -> None:
         self.timeout, self.done = timeout, done
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.expiring: deque[Call] = deque()  # all wait equally long: oldest first
+        self.expiring: deque[CounterCall] = deque()  # all wait equally long: oldest first
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
         self.ready = self.loop.create_future()  # done once a first connection is up or was refused
-        self.lines = [Line(self, address) for _ in range(LINES)]
-        self.coming: list[Line] = []  # to another address: each takes over once it is up
+        self.lines = [CounterConnection(self, address) for _ in range(LINES)]
+        self.coming: list[CounterConnection] = []  # to another address: each takes over once it is up
         for line in self.lines:
             line.connect()
         self.watch = self.loop.call_later(PING_AFTER / 2, self.look)
@@ -244,14 +245,14 @@
         """Call at another address.  The old lines go on until the new ones are up, one by one."""
         if address == (self.coming or self.lines)[-1].address:
             return
-        dropped, self.coming = self.coming, [Line(self, address) for _ in range(LINES)]
+        dropped, self.coming = self.coming, [CounterConnection(self, address) for _ in range(LINES)]
         for line in dropped:
             if line.transport is not None and line not in self.lines:
                 line.transport.abort()
         for line in self.coming:
             line.connect()
 
-    def connected(self, line: Line) -> None:
+    def connected(self, line: CounterConnection) -> None:
         if line in self.coming:
             place = self.coming.index(line)
             old, self.lines[place] = self.lines[place], line
@@ -259,7 +260,7 @@
             if all(up.address == line.address for up in self.lines):
                 self.coming = []
 
-    def add(self, count: Count) -> None:
+    def add(self, count: AddToCounter) -> None:
         self.lines[count.name % LINES].call(count, time.monotonic())
         if self.timer is None and self.expiring:
             self.timer = self.loop.call_later(self.timeout, self.expire)
@@ -276,10 +277,10 @@
             self.expiring.popleft()
         self.timer = None
 
-    def settle(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
+    def settle(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
         if not call.settled and call.count is not None:
             call.settled = True
-            self.done(Counted(call.count.name, outcome, total, time.monotonic() - call.began))
+            self.done(CounterReply(call.count.name, outcome, total, time.monotonic() - call.began))
 
     def look(self) -> None:
         now = time.monotonic()
--- a/gateway/discovery/client.py
+++ b/gateway/discovery/client.py
@@ -14,8 +14,8 @@
 import httptools
 
 from gateway.config import Address, ConfigError, parse_address, plain
-from gateway.discovery.json_stream import Documents
-from gateway.policy.interface import Entry, Listing, Members, State
+from gateway.discovery.json_stream import JsonStream
+from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
 
 MOST_LIST = (
     1 << 20
@@ -27,10 +27,10 @@
 TRY_FOR = 1.0  # seconds without a byte after which a try is given up: the agent is on this machine
 LIST_FOR = 5.0  # seconds in which a try's whole list has to be there
 MOST_TRIES = 8  # connections to one agent, which take descriptors: the watch, and tries for 3 s at that pace
-STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.GONE}
 
 log = logging.getLogger(__name__)
-Heard = Callable[[Members, dict[int, Address]], None]
+EndpointListener = Callable[[EndpointUpdate, dict[int, Address]], None]
 
 
 def backend_id(name: str) -> int:
@@ -41,7 +41,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
-class Names:
+class EndpointDecoder:
     """Turns discovery's lines into the module's lists."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -49,30 +49,32 @@
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.hosts: dict[int, str] = {}  # two names with one id would be taken for one backend
 
-    def entry(self, raw: Any) -> tuple[Entry, Address]:
+    def entry(self, raw: Any) -> tuple[EndpointRecord, Address]:
         state = STATES[raw["health"]]
         name = str(raw["host"])
         number = backend_id(name)
         if self.hosts.setdefault(number, name) != name:
             raise ValueError(f"{name} has the id of {self.hosts[number]}")
-        return Entry(
-            backend=number,
+        return EndpointRecord(
+            endpoint_id=number,
             zone=self.zones[plain(raw["site"])],
-            started=float(raw["born_ms"]) / 1000,
+            started_at=float(raw["born_ms"]) / 1000,
             state=state,
-            kind=self.kinds[plain(raw["class"])],
+            machine_type=self.kinds[plain(raw["class"])],
             cell=int(raw["block"]),
             weight=float(raw["share"]),
         ), parse_address(raw["dial"])
 
-    def members(self, raw: Any, cached: bool = False) -> tuple[Members, dict[int, Address]]:
+    def members(self, raw: Any, cached: bool = False) -> tuple[EndpointUpdate, dict[int, Address]]:
         """One line as a list or a change; entries that make no sense are logged and left out."""
         if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
             raise ValueError("not a list of hosts")
-        listing = Listing.CACHED if cached else Listing.FULL if raw.get("whole") else Listing.DELTA
+        listing = (
+            UpdateKind.CACHED if cached else UpdateKind.SNAPSHOT if raw.get("whole") else UpdateKind.DELTA
+        )
         version = int(raw["seq"])
         known = self.hosts
-        if listing is not Listing.DELTA:
+        if listing is not UpdateKind.DELTA:
             self.hosts = {}
         entries, addresses = [], {}
         for item in raw["hosts"]:
@@ -82,29 +84,29 @@
                 log.warning("discovery: entry skipped: %s: %s", type(error).__name__, error)
                 continue
             entries.append(entry)
-            addresses[entry.backend] = address
-            if entry.state is State.GONE:
-                del self.hosts[entry.backend]  # ids are ever new: kept ones would pile up
-        if raw["hosts"] and not entries and listing is not Listing.DELTA:
+            addresses[entry.endpoint_id] = address
+            if entry.state is EndpointState.GONE:
+                del self.hosts[entry.endpoint_id]  # ids are ever new: kept ones would pile up
+        if raw["hosts"] and not entries and listing is not UpdateKind.DELTA:
             self.hosts = known
             raise ValueError("no entry can be read")  # must not empty the fleet
-        return Members(listing, version, tuple(entries)), addresses
+        return EndpointUpdate(listing, version, tuple(entries)), addresses
 
 
-class Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One connection: the whole list first, then a watch, a chunked answer with JSON objects one by one.
 
     The whole list comes first each time, as the version to go on from may mean nothing to this agent.
     """
 
-    def __init__(self, source: Source) -> None:
+    def __init__(self, source: AgentWatch) -> None:
         self.source = source
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.watching = False
         self.answered = False  # whether anything has come
         self.rest = b""  # of the whole list
-        self.documents = Documents()
+        self.documents = JsonStream()
         self.heard_at = time.monotonic()  # while the list comes any bytes, then a document or an empty line
         self.lost: asyncio.Future[None] = source.owner.loop.create_future()
 
@@ -167,7 +169,7 @@
         self.source.news.set()
 
 
-class Source:
+class AgentWatch:
     """One agent's address, watched until it is closed.
 
     An agent that is cut off says nothing, and what is written to it then it may never answer.  What it gets
@@ -176,12 +178,14 @@
     Tries that drip must not keep others from being made: once there are too many, the oldest gives way.
     """
 
-    def __init__(self, owner: Discovery, address: Address) -> None:
+    def __init__(self, owner: DiscoveryClient, address: Address) -> None:
         self.owner, self.address = owner, address
         self.seq = -1  # of the last list or change; each agent may count on its own
-        self.watch: Watch | None = None  # the one that brought the list
+        self.watch: WatchConnection | None = None  # the one that brought the list
         self.doubted = False  # whether something on it could not be read: a change may be lost with that
-        self.tries: dict[Watch, asyncio.Task[None]] = {}  # connections, the watch among them, oldest first
+        self.tries: dict[
+            WatchConnection, asyncio.Task[None]
+        ] = {}  # connections, the watch among them, oldest first
         self.news = asyncio.Event()  # the watch has begun, ended or become doubtful
         self.task = owner.loop.create_task(self.run())
 
@@ -194,7 +198,7 @@
 
     async def run(self) -> None:
         wait, began = RETRY_FIRST, -RETRY_MOST
-        last: Watch | None = None  # the newest try
+        last: WatchConnection | None = None  # the newest try
         while True:
             if (well := self.well_for()) > 0:
                 self.news.clear()
@@ -210,20 +214,20 @@
             last, began = self.try_anew(), time.monotonic()
             await asyncio.sleep(wait)
 
-    def try_anew(self) -> Watch:
+    def try_anew(self) -> WatchConnection:
         while len(self.tries) >= MOST_TRIES:
             self.give_up(next(watch for watch in self.tries if watch is not self.watch))
-        watch = Watch(self)
+        watch = WatchConnection(self)
         self.tries[watch] = task = self.owner.loop.create_task(self.attempt(watch))
         task.add_done_callback(lambda _: self.tries.pop(watch, None))
         return watch
 
-    def give_up(self, watch: Watch) -> None:
+    def give_up(self, watch: WatchConnection) -> None:
         """Nothing that comes on it from now on is heard."""
         watch.abort()
         self.tries.pop(watch).cancel()
 
-    async def attempt(self, watch: Watch) -> None:
+    async def attempt(self, watch: WatchConnection) -> None:
         """Open a connection and wait for its whole list, then until it is lost or another takes over."""
         began = time.monotonic()
         try:
@@ -240,17 +244,17 @@
         finally:
             watch.abort()
 
-    def read(self, document: bytes) -> tuple[Members, dict[int, Address]] | None:
+    def read(self, document: bytes) -> tuple[EndpointUpdate, dict[int, Address]] | None:
         try:
             return self.owner.names.members(json.loads(document))
         except (KeyError, TypeError, ValueError, RecursionError) as error:
             log.warning("discovery: list skipped: %s: %s", type(error).__name__, error)
             return None
 
-    def whole(self, watch: Watch, document: bytes) -> bool:
+    def whole(self, watch: WatchConnection, document: bytes) -> bool:
         """Take a new connection's whole list; the watch before it and other tries are of no further use."""
         told = self.read(document)
-        if told is None or told[0].listing is not Listing.FULL:
+        if told is None or told[0].kind is not UpdateKind.SNAPSHOT:
             return False
         self.watch, self.doubted = watch, False
         # A list that is still coming on another was made before this one: it must not replace it.
@@ -260,7 +264,7 @@
         self.tell(told)
         return True
 
-    def change(self, watch: Watch, document: bytes) -> bool:
+    def change(self, watch: WatchConnection, document: bytes) -> bool:
         """Tell of what comes on the watch; false for what cannot be read or is older than what is known."""
         if watch is not self.watch or self is not self.owner.sources[0]:
             return True  # another has taken over
@@ -268,17 +272,17 @@
         if told is None:
             return False
         members = told[0]
-        if members.version < self.seq or (members.listing is Listing.DELTA and members.version == self.seq):
+        if members.version < self.seq or (members.kind is UpdateKind.DELTA and members.version == self.seq):
             # A change that is known already.  A list from before may be one of an agent that counts anew.
-            return members.listing is Listing.DELTA
+            return members.kind is UpdateKind.DELTA
         self.tell(told)
         return True
 
-    def tell(self, told: tuple[Members, dict[int, Address]]) -> None:
+    def tell(self, told: tuple[EndpointUpdate, dict[int, Address]]) -> None:
         self.seq = told[0].version
         self.owner.tell(*told)
 
-    def doubt(self, watch: Watch) -> None:
+    def doubt(self, watch: WatchConnection) -> None:
         """Ask for the whole list again on another connection; meanwhile this one is heard."""
         if watch is self.watch:
             self.doubted = True
@@ -290,27 +294,27 @@
             self.give_up(watch)
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps a watch open and tells of every list and change."""
 
-    def __init__(self, address: Address, names: Names, heard: Heard) -> None:
+    def __init__(self, address: Address, names: EndpointDecoder, heard: EndpointListener) -> None:
         self.names, self.heard = names, heard
         self.loop = asyncio.get_running_loop()
         self.told: asyncio.Future[None] = self.loop.create_future()  # done once a first list has come
-        self.sources = [Source(self, address)]  # the one in use, then one that is to take over
+        self.sources = [AgentWatch(self, address)]  # the one in use, then one that is to take over
 
     def move(self, address: Address) -> None:
         """Watch another address.  The list stays, and the old watch is heard, until a whole list comes."""
         if address != self.sources[-1].address:
             for source in self.sources[1:]:
                 source.close()
-            self.sources[1:] = [Source(self, address)]
+            self.sources[1:] = [AgentWatch(self, address)]
 
-    def takes_over(self, source: Source) -> None:
+    def takes_over(self, source: AgentWatch) -> None:
         while self.sources[0] is not source:
             self.sources.pop(0).close()
 
-    def tell(self, members: Members, addresses: dict[int, Address]) -> None:
+    def tell(self, members: EndpointUpdate, addresses: dict[int, Address]) -> None:
         self.heard(members, addresses)
         if not self.told.done():
             self.told.set_result(None)
--- a/gateway/discovery/json_stream.py
+++ b/gateway/discovery/json_stream.py
@@ -9,7 +9,7 @@
 TOKEN = re.compile(rb'"(?:[^"\\\n]|\\[^\n])*"|[{}\[\]\n"]')
 
 
-class Documents:
+class JsonStream:
     """Takes bytes as they come and gives the documents that are whole, an empty one for each line that only
     says that the sender is there.  What never closes ends at such a line, or at a line that stands alone as
     a document: the ones behind it must not be lost with it.
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -13,9 +13,9 @@
 import httptools
 
 from gateway.config import Config
-from gateway.frontend.request_metadata import BadRequest, Reader
-from gateway.policy import interface as i
-from gateway.policy_driver import Answer, Host, Open
+from gateway.frontend.request_metadata import BadRequestError, RequestMetadataParser
+from gateway.policy.events import Request
+from gateway.policy_driver import OpenRequest, PolicyDriver, Response
 
 MOST_BODY = 64 * 1024  # bytes of a request's body, by the protocol
 MOST_HEAD = 16 * 1024
@@ -43,7 +43,7 @@
 log = logging.getLogger(__name__)
 
 
-def encode(answer: Answer, close: bool) -> bytes:
+def encode(answer: Response, close: bool) -> bytes:
     head = f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Length: {len(answer.body)}\r\n"
     if answer.retry_after > 0:
         head += f"Retry-After: {answer.retry_after:.3f}\r\n"
@@ -59,14 +59,14 @@
 
     __slots__ = ("answer", "client", "held", "keep_alive", "request", "request_id")
 
-    def __init__(self, client: Client, keep_alive: bool) -> None:
+    def __init__(self, client: ClientConnection, keep_alive: bool) -> None:
         self.client, self.keep_alive = client, keep_alive
-        self.answer: Answer | None = None
-        self.request: Open | None = None
+        self.answer: Response | None = None
+        self.request: OpenRequest | None = None
         self.request_id = b""  # while it is open
         self.held = 0
 
-    def reply(self, answer: Answer) -> None:
+    def reply(self, answer: Response) -> None:
         self.answer = answer
         self.client.flush()
 
@@ -78,16 +78,18 @@
         server.ids.discard(self.request_id)
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: Listener) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.signs = select.poll()  # what the system knows of the connection, and the loop not yet
         self.parser = httptools.HttpRequestParser(self)
         self.pending: deque[Exchange] = deque()
-        self.standing: OrderedDict[Client, None] | None = None  # the waiting line of `Server` that it is in
+        self.standing: OrderedDict[ClientConnection, None] | None = (
+            None  # the waiting line of `Listener` that it is in
+        )
         self.since = 0.0  # and since when
         self.began = 0.0  # when the request that is coming in began
         self.arriving = False
@@ -103,7 +105,7 @@
         self.head = 0
         self.body: list[bytes] = []
 
-    def stand(self, line: OrderedDict[Client, None] | None) -> None:
+    def stand(self, line: OrderedDict[ClientConnection, None] | None) -> None:
         """Wait in a line, last, or in none."""
         if self.standing is not None:
             self.standing.pop(self, None)
@@ -156,12 +158,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.reject(BadRequest("no upgrades here"))
+            self.reject(BadRequestError("no upgrades here"))
         except httptools.HttpParserError as error:
             cause = error.__context__
-            self.reject(cause if isinstance(cause, BadRequest) else BadRequest("malformed request"))
+            self.reject(cause if isinstance(cause, BadRequestError) else BadRequestError("malformed request"))
         if self.stray > MOST_STRAY and not self.arriving:
-            self.reject(BadRequest("no request"))
+            self.reject(BadRequestError("no request"))
 
     def discard(self) -> None:
         """Read on behind an error, as a reset on unread bytes could overtake it, but at a bounded pace."""
@@ -172,7 +174,7 @@
 
     def on_message_begin(self) -> None:
         if self.broken:
-            raise BadRequest("nothing more is read here")
+            raise BadRequestError("nothing more is read here")
         self.clear()
         self.began, self.arriving = time.monotonic(), True
         if self.standing is self.server.idle:
@@ -181,7 +183,7 @@
     def count(self, size: int) -> None:
         self.head += size
         if self.head > MOST_HEAD:
-            raise BadRequest("header too large")
+            raise BadRequestError("header too large")
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -196,7 +198,7 @@
         self.headed = True
         for name, value in self.headers:
             if name == b"content-length" and int(value) > MOST_BODY:
-                raise BadRequest("body too large", 413)
+                raise BadRequestError("body too large", 413)
             if name == b"expect" and value.lower() == b"100-continue" and self.transport and not self.pending:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -204,16 +206,16 @@
         self.held += len(body)
         self.server.held += len(body)
         if self.held > MOST_BODY:
-            raise BadRequest("body too large", 413)
+            raise BadRequestError("body too large", 413)
         if self.server.held > self.server.most_held:
-            raise BadRequest("too much is held", 503)  # nothing has run: memory is bounded
+            raise BadRequestError("too much is held", 503)  # nothing has run: memory is bounded
         self.body.append(body)
 
     def on_message_complete(self) -> None:
         self.arriving, self.stray = False, 0
         if len(self.pending) >= MOST_PIPELINED:
             # One read may hold hundreds of requests, each with an answer of 64 KiB to be kept for its turn.
-            raise BadRequest("too many requests at once", 503)
+            raise BadRequestError("too many requests at once", 503)
         if self.sign(select.POLLRDHUP):
             self.eof_received()  # it left behind its request, which may have waited here, as in a stall
             return
@@ -222,28 +224,28 @@
         self.pending.append(exchange)
         try:
             self.take(exchange)
-        except BadRequest as error:
+        except BadRequestError as error:
             exchange.keep_alive = False  # its descriptor is of use to others
             exchange.reply(self.answer(error))
         except Exception:
             log.exception("a request could not be taken")
             if exchange.answer is None:
-                exchange.reply(Answer(502))
+                exchange.reply(Response(502))
         self.let_go()
 
     def take(self, exchange: Exchange) -> None:
         server = self.server
         if self.url == b"/-/ready":
-            exchange.reply(Answer(200 if server.ready() else 503))
+            exchange.reply(Response(200 if server.ready() else 503))
             return
         if len(server.clients) > server.most_clients:
             exchange.keep_alive = False
-            exchange.reply(Answer(503, retry_after=1.0))
+            exchange.reply(Response(503, retry_after=1.0))
             return
         method = self.parser.get_method()
         terms = server.terms.read(method, self.url, self.headers)
         if terms.request_id in server.ids:
-            raise BadRequest("this Request-Id is open", 409)
+            raise BadRequestError("this Request-Id is open", 409)
         server.ids.add(terms.request_id)
         exchange.request_id = terms.request_id
         exchange.held, self.held = self.held, 0
@@ -258,8 +260,8 @@
         def payload(left: float) -> bytes:
             return b"%sRequest-Timeout: %dm\r\n\r\n%s" % (head, max(1, int(left * 1000)), body)
 
-        def make(request: int) -> i.Request:
-            return i.Request(
+        def make(request: int) -> Request:
+            return Request(
                 request, terms.cls, terms.plan, terms.customer, end - time.monotonic(), terms.units,
                 terms.spread, terms.first, terms.is_retry, method == b"POST",
             )  # fmt: skip
@@ -268,8 +270,8 @@
 
     # --- writing -----------------------------------------------------------------------------------
 
-    def answer(self, error: BadRequest) -> Answer:
-        return Answer(error.status, f"{error}\n".encode(), retry_after=1.0 if error.status == 503 else 0.0)
+    def answer(self, error: BadRequestError) -> Response:
+        return Response(error.status, f"{error}\n".encode(), retry_after=1.0 if error.status == 503 else 0.0)
 
     def flush(self) -> None:
         while self.pending and (answer := self.pending[0].answer) is not None:
@@ -295,7 +297,7 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def reject(self, error: BadRequest) -> None:
+    def reject(self, error: BadRequestError) -> None:
         """Answer what cannot be read as a request, behind the answers still owed, and end."""
         if not self.broken:
             self.broken, self.arriving = True, False
@@ -329,22 +331,22 @@
         return not self.broken and self.sign(select.POLLIN)
 
 
-class Server:
-    def __init__(self, config: Config, host: Host) -> None:
+class Listener:
+    def __init__(self, config: Config, host: PolicyDriver) -> None:
         self.settings, self.host = config.settings, host
         self.listen = config.listen
         self.most_clients, self.surplus = config.bounds.clients, config.bounds.surplus
         self.most_held = config.bounds.held  # bytes of bodies; beyond it requests are refused
         self.loop = asyncio.get_running_loop()
-        self.terms = Reader(config.settings, config.most_units)
-        self.clients: set[Client] = set()
+        self.terms = RequestMetadataParser(config.settings, config.most_units)
+        self.clients: set[ClientConnection] = set()
         # Waiting lines, the longest wait first: before a first request is whole, between requests, while
         # one comes in, and after the last answer.  Who waits for an answer is in none.
-        self.fresh: OrderedDict[Client, None] = OrderedDict()
-        self.idle: OrderedDict[Client, None] = OrderedDict()
-        self.coming: OrderedDict[Client, None] = OrderedDict()
-        self.ended: OrderedDict[Client, None] = OrderedDict()
-        self.unheard: set[Client] = set()  # those not read, as they do not read their answers
+        self.fresh: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.idle: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.coming: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.ended: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.unheard: set[ClientConnection] = set()  # those not read, as they do not read their answers
         self.ids: set[bytes] = set()  # of requests that are open
         self.held = 0
         self.stopping = False
@@ -354,13 +356,13 @@
 
     async def start(self) -> None:
         self.server = await self.loop.create_server(
-            lambda: Client(self), self.listen.host, self.listen.port, backlog=1024
+            lambda: ClientConnection(self), self.listen.host, self.listen.port, backlog=1024
         )
 
     def ready(self) -> bool:
         return not self.stopping and bool(self.host.upstream.pools)
 
-    def add(self, client: Client) -> None:
+    def add(self, client: ClientConnection) -> None:
         self.clients.add(client)
         if len(self.clients) <= self.most_clients:
             return
@@ -373,7 +375,7 @@
             self.clients.discard(victim)
             victim.abort()
 
-    def victim(self, newest: Client) -> Client | None:
+    def victim(self, newest: ClientConnection) -> ClientConnection | None:
         """Whose connection is missed least; one that has just been opened may be about to ask."""
         now = time.monotonic()
         choices = (
@@ -391,7 +393,7 @@
 
     def sweep(self) -> None:
         """End who has waited too long: says nothing, drips, stands idle or does not read."""
-        late = BadRequest("the request did not come whole", 408)
+        late = BadRequestError("the request did not come whole", 408)
         for line, most in ((self.fresh, READ_TIMEOUT), (self.coming, READ_TIMEOUT)):
             for client in self.overdue(line, most):
                 # Bytes that came without a request, such as empty lines, are owed an answer too.
@@ -413,7 +415,7 @@
             client.eof_received()
         self.hearing = self.loop.call_later(LEFT_EVERY, self.hear_leaves)
 
-    def overdue(self, line: OrderedDict[Client, None], most: float) -> Iterator[Client]:
+    def overdue(self, line: OrderedDict[ClientConnection, None], most: float) -> Iterator[ClientConnection]:
         before = time.monotonic() - most
         while line and (client := next(iter(line))).since < before:
             client.stand(None)
@@ -441,7 +443,7 @@
         """The process is about to end: half a request gets an answer too, and whoever has its last answer is
         read on until it closes, as a reset on unread bytes could overtake that.
         """
-        late = BadRequest("the front door ends", 503)
+        late = BadRequestError("the front door ends", 503)
         for client in list(self.clients):
             if client.arriving or client.unread():
                 client.reject(late)
--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -7,11 +7,10 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
-from gateway.policy import interface as i
-from gateway.policy.interface import Effect
+from gateway.policy.settings import Effect, Settings
 
 CUSTOMERS = 1 << 33
-MOST_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
+MOST_TERMS = 96  # bytes of X-Call-RequestMetadata; longer ones would also fill the cache
 SINGLE = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
@@ -25,14 +24,14 @@
 PLACE = re.compile(r"\d{1,9}", re.ASCII)
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
         self.status = status
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class RequestMetadata:
     request_id: bytes
     cls: int
     plan: int
@@ -46,17 +45,17 @@
 
 @functools.lru_cache(maxsize=256)  # few distinct ones come
 def parse_call_terms(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of X-Call-Terms."""
+    """Units, spread and first of X-Call-RequestMetadata."""
     try:
         pairs = [part.split("=", 1) for part in text.decode("ascii").replace(" ", "").split(",")]
         values = {key: value for key, value in pairs}  # noqa: C416  # a part without "=" is a ValueError
         units, spread, first = values["units"], values["spread"], values["first"]
     except (KeyError, ValueError):
-        raise BadRequest("malformed X-Call-Terms") from None
+        raise BadRequestError("malformed X-Call-Terms") from None
     if len(values) != len(pairs) or not (
         UNITS.fullmatch(units) and PLACE.fullmatch(spread) and PLACE.fullmatch(first)
     ):
-        raise BadRequest("malformed X-Call-Terms")
+        raise BadRequestError("malformed X-Call-Terms")
     return float(units), int(spread), int(first)
 
 
@@ -64,7 +63,7 @@
     """Request-Timeout in seconds."""
     found = TIMEOUT.fullmatch(text)
     if found is None:
-        raise BadRequest("malformed Request-Timeout")
+        raise BadRequestError("malformed Request-Timeout")
     number = float(found[1] + b"." + (found[2] or b"0"))
     return number / (1e3 if found[3] == b"m" else 1e6)
 
@@ -74,59 +73,65 @@
     try:
         found = [v for k, v in parse_qsl(query.decode("ascii"), True, max_num_fields=32) if k == "customer"]
     except ValueError:
-        raise BadRequest("malformed query") from None
+        raise BadRequestError("malformed query") from None
     if len(found) != 1 or not CUSTOMER.fullmatch(found[0]) or int(found[0], 16) >= CUSTOMERS:
-        raise BadRequest("malformed customer")
+        raise BadRequestError("malformed customer")
     return int(found[0], 16)
 
 
-class Reader:
+class RequestMetadataParser:
     """Reads terms by one site's settings."""
 
-    def __init__(self, settings: i.Settings, most_units: float) -> None:
-        self.most_units, self.peers = most_units, settings.peers
+    def __init__(self, settings: Settings, most_units: float) -> None:
+        self.most_units, self.peers = most_units, settings.gateway_count
         self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans)}
 
-    def read(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> Terms:
+    def read(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestMetadata:
         headers = dict(fields)
         if len(headers) != len(fields):
             self.no_repeats(fields)
         found = TARGET.fullmatch(target)
         if found is None or (b"/." in found[1] and {b".", b".."} & set(found[1].split(b"/"))):
-            raise BadRequest("malformed target")
+            raise BadRequestError("malformed target")
         name = found[1][1:].partition(b"/")[0]
         if name not in self.classes:
-            raise BadRequest("no such class", 404)
+            raise BadRequestError("no such class", 404)
         number, cls = self.classes[name]
         if headers.get(b"request-class") != name:
-            raise BadRequest("Request-Class is not the path's")
+            raise BadRequestError("Request-Class is not the path's")
         plan = self.plans.get(headers.get(b"x-tier", b""))
         if plan is None:
-            raise BadRequest("no such X-Tier")
+            raise BadRequestError("no such X-Tier")
         key = headers.get(b"idempotency-key", b"")
-        effect = Effect.SAFE if method == b"GET" else Effect.KEYED if key else Effect.UNSAFE
+        effect = (
+            Effect.IDEMPOTENT
+            if method == b"GET"
+            else Effect.IDEMPOTENT_WITH_KEY
+            if key
+            else Effect.NON_IDEMPOTENT
+        )
         if method not in (b"GET", b"POST") or effect is not cls.effect or (key and not KEY.fullmatch(key)):
-            raise BadRequest("the method or Idempotency-Key is not that of the class")
+            raise BadRequestError("the method or Idempotency-Key is not that of the class")
         request_id = headers.get(b"request-id", b"")
         if not REQUEST_ID.fullmatch(request_id):
-            raise BadRequest("malformed Request-Id")
+            raise BadRequestError("malformed Request-Id")
         # A client waits for all its tries no longer than its class's deadline, so none is held longer.
         timeout = min(cls.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
         terms = headers.get(b"x-call-terms", b"")
         if len(terms) > MOST_TERMS:
-            raise BadRequest("malformed X-Call-Terms")
+            raise BadRequestError("malformed X-Call-Terms")
         units, spread, first = parse_call_terms(terms)
         if not (0 < units <= self.most_units and 0 < spread <= self.peers and first < self.peers):
-            raise BadRequest("X-Call-Terms out of range")
+            raise BadRequestError("X-Call-RequestMetadata out of range")
         customer = parse_customer(found[2] or b"")
         is_retry = headers.get(b"client-retry") == b"1"
-        return Terms(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
+        return RequestMetadata(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
 
     def no_repeats(self, fields: list[tuple[bytes, bytes]]) -> None:
         """A header that counts and stands twice could be read differently here and at a backend."""
         seen = set()
         for name, _ in fields:
             if name in seen and name in SINGLE:
-                raise BadRequest("a header stands twice")
+                raise BadRequestError("a header stands twice")
             seen.add(name)
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -4,8 +4,8 @@
 
 import math
 
-from gateway.policy import interface as i
-from gateway.policy.interface import Outcome
+from gateway.policy.events import CounterReply, Outcome
+from gateway.policy.settings import Settings
 
 PACE = 800.0  # counter calls a second to begin with, by all gateways
 PACE_LEAST = 60.0  # while it answers nothing: enough to see it come back
@@ -15,7 +15,7 @@
 FAILING = 0.1  # weight of the newest call in the share that fails
 
 
-class Pace:
+class CounterRateLimiter:
     """Calls are paced by their answers: up slowly, down when one is turned away or slow, as a crowded
     counter's are; after a silence doubling back to half.  A connection that breaks fails its calls at
     once and says nothing of how many the counter bears, until most fail: then it is away.  Slowing down
@@ -23,9 +23,9 @@
     harm with a counter that resets connections to say that it is full.
     """
 
-    def __init__(self, settings: i.Settings, start: float) -> None:
+    def __init__(self, settings: Settings, start: float) -> None:
         self.on, self.timeout = settings.has_counter, settings.counter_timeout
-        self.peers = max(1, settings.peers)
+        self.peers = max(1, settings.gateway_count)
         self.pace = PACE / self.peers if self.on else 0.0
         self.steady, self.cut_at = self.pace, 0.0  # pace before the counter's trouble; its last cut
         self.raised_at = math.inf  # its last quick answer
@@ -37,9 +37,9 @@
         """Whether it is of no use to ask.  One that turns calls away is crowded, and it is there."""
         return self.failing > 0.5
 
-    def judge(self, now: float, event: i.Counted) -> None:
-        good, slow = event.outcome is Outcome.OK, event.spent >= self.timeout / 2
-        crowded = event.outcome is Outcome.FULL
+    def judge(self, now: float, event: CounterReply) -> None:
+        good, slow = event.outcome is Outcome.OK, event.elapsed >= self.timeout / 2
+        crowded = event.outcome is Outcome.OVERLOADED
         self.failing += FAILING * ((not good and not crowded) - self.failing)
         if good and not slow:
             if self.pace < self.steady / 2:
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -1,6 +1,6 @@
-"""Every decision of the gateway.  Types, events and actions: gateway/policy/interface.py.
+"""Every decision of the gateway.  Types, events and actions: gateway/policy/{settings,events,actions}.py.
 
-Reading order: tuned values; state; Gateway: admission by lease (GALE), trouble at the counter, backends,
+Reading order: tuned values; state; Policy: admission by lease (GALE), trouble at the counter, backends,
 attempts and final answers, the tick.
 """
 
@@ -13,9 +13,33 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from gateway.policy import interface as i
-from gateway.policy.counter_rate_limiter import Pace
-from gateway.policy.interface import Effect, Outcome, Scope, State
+from gateway.policy.actions import (
+    Action,
+    AddToCounter,
+    Cancel,
+    Fail,
+    Log,
+    Probe,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from gateway.policy.counter_rate_limiter import CounterRateLimiter
+from gateway.policy.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    CounterReply,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    ProbeFinished,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
+from gateway.policy.settings import DedupScope, Effect, Plan, RequestClass, Settings
 from gateway.policy.subsetting import arc
 
 # Tuned values: seconds, units or plain ratios.
@@ -63,7 +87,7 @@
     """A customer's leased budget at this gateway: rate units, or slots where `slots` is set."""
 
     customer: int
-    plan: i.Plan
+    plan: Plan
     width: int
     slots: bool
     length: float  # of a window
@@ -98,15 +122,15 @@
     bucket_at: float = 0.0
     touched: float = 0.0
     often: bool = False  # whether its last two requests came within a span
-    waiters: deque[Job] = field(default_factory=deque)
+    waiters: deque[PendingRequest] = field(default_factory=deque)
 
 
 @dataclass(slots=True)
-class Backend:
-    entry: i.Entry
+class Endpoint:
+    entry: EndpointRecord
     out: dict[tuple[int, int], float] = field(default_factory=dict)  # attempts out, oldest first
     ring: int = 0  # its place among all, alike at every gateway
-    state: State = State.READY
+    state: EndpointState = EndpointState.READY
     latency: float = FIRST_LATENCY
     answered: float = 0.0  # when it last answered
     heard: dict[int, float] = field(default_factory=dict)  # and by class
@@ -119,102 +143,104 @@
 
 
 @dataclass(slots=True)
-class Job:
+class PendingRequest:
     """A request that still needs an answer, or whose attempts are still out."""
 
-    req: i.Request
-    cls: i.RequestClass
-    plan: i.Plan
+    req: Request
+    cls: RequestClass
+    plan: Plan
     arrived: float
     end: float
     leases: list[Lease]
     held: list[Lease] = field(default_factory=list)  # leases whose credit it holds
-    out: dict[int, tuple[Backend, float]] = field(default_factory=dict)
+    out: dict[int, tuple[Endpoint, float]] = field(default_factory=dict)
     tried: list[int] = field(default_factory=list)
     attempts: int = 0
     window: int = 0  # whose credit it holds
-    ran: tuple[Backend, float] | None = None  # first attempt that may have run
+    ran: tuple[Endpoint, float] | None = None  # first attempt that may have run
     closed: bool = False
 
 
-def place_of(backend: Backend) -> int:
+def place_of(backend: Endpoint) -> int:
     return backend.ring
 
 
-class Gateway:  # decides for one gateway; `handle` is the only way in
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+class Policy:  # decides for one gateway; `handle` is the only way in
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.backends: dict[int, Backend] = {}
-        self.jobs: dict[int, Job] = {}
-        self.queue: list[Job] = []
+        self.backends: dict[int, Endpoint] = {}
+        self.jobs: dict[int, PendingRequest] = {}
+        self.queue: list[PendingRequest] = []
         self.leases: dict[tuple[int, bool], Lease] = {}  # the one touched last at the end
         self.wanting: dict[tuple[int, bool], Lease] = {}  # waiters, but no call may be made yet
         self.calls: dict[int, deque[tuple[Lease, int, float, bool]]] = {}
         self.sent: dict[tuple[int, int], float] = {}  # attempts out, oldest first
         self.flying = 0  # jobs with attempts out
-        self.actions: list[i.Action] = []
+        self.actions: list[Action] = []
         self.now, self.tick_at = 0.0, -math.inf  # when the timer that is set comes due
         self.scan_at, self.probe_at = 0.0, 0.0
-        self.live: list[Backend] = []  # listed ready, in the ring's order
-        self.near: list[Backend] = []  # those of them that this gateway keeps to
+        self.live: list[Endpoint] = []  # listed ready, in the ring's order
+        self.near: list[Endpoint] = []  # those of them that this gateway keeps to
         self.near_until = math.inf
         # Mean of what backends report to hold; latencies and the loads that they met, fading sums.
         self.load, self.took, self.met = 0.0, FIRST_LATENCY, 1.0
-        self.aim = min((c.aim for c in settings.classes), default=1.0)
+        self.aim = min((c.latency_objective for c in settings.classes), default=1.0)
         self.holding: dict[tuple[int, bool], Lease] = {}  # leases with credit or slots to give back
         self.latency = FIRST_LATENCY
         self.odds = {plan.name: 0.5 for plan in settings.plans}  # share of leases granted, by plan
         self.usual = [FIRST_LATENCY for _ in settings.classes]  # latencies by class: their work differs
-        self.peers = max(1, settings.peers)
-        self.pace = Pace(settings, self.random.random())
+        self.peers = max(1, settings.gateway_count)
+        self.pace = CounterRateLimiter(settings, self.random.random())
         self.out = 0  # attempts out at live backends
         self.room = FIRST_LIMIT / self.peers  # attempts out at a mean backend, mine
         self.missed, self.lowered = 0.0, 0.0  # answers later than their target; last cut of `room`
         self.warm_sends, self.warm_at, self.resends = 0.0, 0.0, 1.0
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         """The actions that answer one event, in order."""
         self.now, self.actions = now, []
         match event:
-            case i.Request():
+            case Request():
                 self.on_request(event)
-            case i.Finished():
+            case AttemptFinished():
                 self.on_finished(event)
-            case i.Probed() if event.backend in self.backends:
-                self.note(self.backends[event.backend], event.report)
-            case i.Counted():
+            case ProbeFinished() if event.endpoint_id in self.backends:
+                self.note(self.backends[event.endpoint_id], event.load_report)
+            case CounterReply():
                 self.on_counted(event)
-            case i.Fired():
+            case TimerFired():
                 self.tick()
-            case i.Members():
+            case EndpointUpdate():
                 self.on_members(event)
-            case i.Left():
-                self.on_left(self.jobs.get(event.request))
+            case ClientDisconnected():
+                self.on_left(self.jobs.get(event.request_id))
         self.set_timer()
         return self.actions
 
     # --- admission by lease (GALE) ---------------------------------------------------------------
 
-    def on_request(self, req: i.Request) -> None:
-        plan = self.settings.plans[req.plan]
-        kinds = [slots for slots, on in ((False, plan.rate > 0), (True, plan.parallel > 0)) if on]
+    def on_request(self, req: Request) -> None:
+        plan = self.settings.plans[req.plan_index]
+        kinds = [slots for slots, on in ((False, plan.rate > 0), (True, plan.max_concurrency > 0)) if on]
         leases = [self.lease(req, plan, slots) for slots in kinds]
-        job = Job(req, self.settings.classes[req.cls], plan, self.now, self.now + req.left, leases)
-        self.jobs[req.request] = job
+        job = PendingRequest(
+            req, self.settings.classes[req.class_index], plan, self.now, self.now + req.time_remaining, leases
+        )
+        self.jobs[req.request_id] = job
         self.probe()
         # One too short to serve would be over before the next tick.
-        self.admit(job) if req.left >= MARGIN + 2 * TICK else self.refuse(job, 0.0)
+        self.admit(job) if req.time_remaining >= MARGIN + 2 * TICK else self.refuse(job, 0.0)
 
-    def lease(self, req: i.Request, plan: i.Plan, slots: bool) -> Lease:
+    def lease(self, req: Request, plan: Plan, slots: bool) -> Lease:
         lease = self.leases.get((req.customer, slots))
         if lease is None:
             # Whole units: a burst, or under a ceiling what fits it twice over and twice more unasked.
             most = min(plan.burst, plan.ceiling_burst / 4 if plan.ceiling_rate else plan.burst)
-            base = float(plan.parallel) if slots else max(1.0, math.floor(most))
+            base = float(plan.max_concurrency) if slots else max(1.0, math.floor(most))
             length = 2 * max(c.deadline for c in self.settings.classes) if slots else WINDOW
             span = length if slots else base / plan.rate
-            width = max(1, min(req.width, self.settings.peers))
+            width = max(1, min(req.gateway_set_size, self.settings.gateway_count))
             phase = mix(req.customer) / 2**64 * length
             size = math.log(max(1.0, base / width))  # a new customer's first lease is its share
             lease = Lease(req.customer, plan, width, slots, length, phase, base, span, size)
@@ -230,7 +256,7 @@
         lease.touched = self.now
         return lease
 
-    def admit(self, job: Job) -> None:
+    def admit(self, job: PendingRequest) -> None:
         """Take a credit of each of the job's leases, then send it on; else it waits or is refused."""
         for lease in job.leases:
             if lease in job.held:
@@ -249,7 +275,7 @@
                 return
         self.dispatch(job)
 
-    def spend(self, lease: Lease, job: Job, units: float) -> None:
+    def spend(self, lease: Lease, job: PendingRequest, units: float) -> None:
         lease.credits -= units
         lease.served += units
         lease.bucket = max(self.refill(lease) - units, -lease.base)
@@ -260,7 +286,7 @@
         if lease.slots or lease.credits > EPS:
             self.holding[lease.customer, lease.slots] = lease
 
-    def units(self, lease: Lease, job: Job) -> float:
+    def units(self, lease: Lease, job: PendingRequest) -> float:
         return 1.0 if lease.slots else job.req.units
 
     def ripe(self, lease: Lease) -> float:
@@ -339,12 +365,14 @@
         elif not lease.waiting:
             self.wanting[lease.customer, lease.slots] = lease
 
-    def patient(self, job: Job) -> bool:
+    def patient(self, job: PendingRequest) -> bool:
         """Whether a request may wait for its lease to be asked for.  A wait costs it part of its aim; let in
         unasked it may go beyond a quota, as every gateway of its customer's set lets some in so.
         """
         waited = self.now - job.arrived
-        return self.settings.has_counter and not self.pace.away and waited < PATIENCE * job.cls.aim
+        return (
+            self.settings.has_counter and not self.pace.away and waited < PATIENCE * job.cls.latency_objective
+        )
 
     def turns(self) -> None:
         """Leases that wait for their call, the longest wait first; who has waited too long goes unasked."""
@@ -380,7 +408,7 @@
         lost = lease.mine - total
         if lost > 0.01:
             # The counter lost this name: what I know of goes back, all of it where totals tell of the others.
-            self.actions.append(i.Log(f"counter-lost customer={lease.customer}"))
+            self.actions.append(Log(f"counter-lost customer={lease.customer}"))
             lease.owed += lost if lease.slots else lease.total - later - total
             lease.mine = total
         elif total > EPS:
@@ -426,10 +454,10 @@
         name = mix(lease.customer, lease.window, lease.slots)
         self.calls.setdefault(name, deque()).append((lease, lease.window, amount, gives))
         lease.total += amount
-        self.actions.append(i.Count(name, amount, min(60.0, 4 * lease.length)))
+        self.actions.append(AddToCounter(name, amount, min(60.0, 4 * lease.length)))
         self.pace.called(self.now)
 
-    def on_counted(self, event: i.Counted) -> None:
+    def on_counted(self, event: CounterReply) -> None:
         pending = self.calls.get(event.name)
         if not pending:
             return
@@ -550,7 +578,7 @@
         the worth lost and by the denials of a known customer, or `odds` that an unknown one is granted;
         1/width under a ceiling, as shares add up."""
         plan = lease.plan
-        ratio = 1.0 if plan.ceiling_rate else plan.over_cost / (1 + plan.over_cost)
+        ratio = 1.0 if plan.ceiling_rate else plan.over_quota_cost / (1 + plan.over_quota_cost)
         if not plan.ceiling_rate:
             ratio *= 1 - (lease.odds if self.known_calm(lease) or lease.slots else odds)
         return 1 / (1 + (lease.width - 1) * ratio)
@@ -568,7 +596,7 @@
         strained = not self.pace.away and self.strain() > UNASKED
         return not strained and self.refill(lease) + EPS >= units
 
-    def admit_alone(self, lease: Lease, job: Job, units: float) -> None:
+    def admit_alone(self, lease: Lease, job: PendingRequest, units: float) -> None:
         """Let a request in by the local share; what it takes is added when the counter is back."""
         if self.fits(lease, units):
             lease.credits += units
@@ -577,7 +605,7 @@
         else:
             self.refuse(job, self.settings.limits.max_retry_after / 2)
 
-    def release(self, job: Job, unsent: bool) -> None:
+    def release(self, job: PendingRequest, unsent: bool) -> None:
         """Slots go back; rate credit only if the request was never sent on."""
         for lease in job.held:
             self.roll(lease)
@@ -591,41 +619,45 @@
 
     # --- backends --------------------------------------------------------------------------------
 
-    def on_members(self, event: i.Members) -> None:
+    def on_members(self, event: EndpointUpdate) -> None:
         """A change costs what it changes, not what the list holds; a whole list is a change of all."""
-        whole = event.listing in (i.Listing.CACHED, i.Listing.FULL)
-        named = {entry.backend for entry in event.entries}
+        whole = event.kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT)
+        named = {entry.endpoint_id for entry in event.records}
         if whole:
             for unnamed in (b for number, b in self.backends.items() if number not in named):
-                self.leave(unnamed, State.GONE)
+                self.leave(unnamed, EndpointState.GONE)
             self.live, named = [], set(self.backends) | named  # sorted anew: one by one would cost more
-        for entry in event.entries:
-            found = self.backends.get(entry.backend)
+        for entry in event.records:
+            found = self.backends.get(entry.endpoint_id)
             if found is None:
-                found = Backend(entry, answered=self.now, ring=mix(entry.backend), state=State.GONE)
-                self.backends[entry.backend] = found
-            if entry.started > found.entry.started or not found.cold_at:
+                found = Endpoint(
+                    entry, answered=self.now, ring=mix(entry.endpoint_id), state=EndpointState.GONE
+                )
+                self.backends[entry.endpoint_id] = found
+            if entry.started_at > found.entry.started_at or not found.cold_at:
                 found.latency, found.answered = self.latency, self.now
                 found.cold_level, found.cold_at = self.random.random(), self.now  # not all at once
             found.entry = entry
-            if entry.state is not State.READY:
+            if entry.state is not EndpointState.READY:
                 self.leave(found, entry.state)
-            elif found.state is not State.READY:
-                found.state = State.READY
+            elif found.state is not EndpointState.READY:
+                found.state = EndpointState.READY
                 self.out += len(found.out)
                 if not whole:
                     bisect.insort(self.live, found, key=place_of)
         if whole:
-            self.live = sorted((b for b in self.backends.values() if b.state is State.READY), key=place_of)
+            self.live = sorted(
+                (b for b in self.backends.values() if b.state is EndpointState.READY), key=place_of
+            )
         for number in named:
-            if self.backends[number].state is State.GONE and not self.backends[number].out:
+            if self.backends[number].state is EndpointState.GONE and not self.backends[number].out:
                 del self.backends[number]
         self.choose_near()
         self.pump()
 
-    def leave(self, backend: Backend, state: State) -> None:
+    def leave(self, backend: Endpoint, state: EndpointState) -> None:
         """It takes nothing new any more."""
-        if backend.state is State.READY:
+        if backend.state is EndpointState.READY:
             self.out -= len(backend.out)
             at = bisect.bisect_left(self.live, backend.ring, key=place_of)
             if at < len(self.live) and self.live[at] is backend:
@@ -641,55 +673,69 @@
                 self.near_until = self.now + RATE_SPAN / 4
             return not cold
 
-        self.near = [self.live[n] for n in sorted(arc(len(self.live), warm, self.settings.me, self.peers))]
+        self.near = [
+            self.live[n] for n in sorted(arc(len(self.live), warm, self.settings.gateway_index, self.peers))
+        ]
 
-    def allowed(self, job: Job) -> list[Backend]:
+    def allowed(self, job: PendingRequest) -> list[Endpoint]:
         """Backends that the rules leave open to this job's next attempt."""
         anchors = [*job.out.values(), *([job.ran] if job.ran else [])]
         anchor = min(anchors, key=lambda a: a[1], default=None)
-        if anchor is None or job.cls.effect is Effect.SAFE:
+        if anchor is None or job.cls.effect is Effect.IDEMPOTENT:
             return self.live
         # A repeat may have to wait for a connection, and must not arrive when its key is forgotten.
-        latest = anchor[1] + job.cls.memory - MARGIN - self.settings.limits.connect_timeout
-        if job.cls.effect is Effect.UNSAFE or self.now > latest:
+        latest = anchor[1] + job.cls.dedup_window - MARGIN - self.settings.limits.connect_timeout
+        if job.cls.effect is Effect.NON_IDEMPOTENT or self.now > latest:
             return []
         return [b for b in self.live if self.group(job, b) == self.group(job, anchor[0])]
 
-    def group(self, job: Job, backend: Backend) -> int:
+    def group(self, job: PendingRequest, backend: Endpoint) -> int:
         entry = backend.entry
-        return {Scope.CELL: entry.cell, Scope.ZONE: entry.zone, Scope.ALL: 0}[job.cls.scope]
+        return {DedupScope.CELL: entry.cell, DedupScope.ZONE: entry.zone, DedupScope.ALL: 0}[
+            job.cls.dedup_scope
+        ]
 
-    def warmth(self, backend: Backend) -> float:
+    def warmth(self, backend: Endpoint) -> float:
         """The share of its capacity that a backend surely has by now."""
         rules = self.settings.rules
-        age = self.now - backend.entry.started
-        if backend.entry.started <= 0 or rules.warm_up <= 0 or age >= rules.warm_up:
+        age = self.now - backend.entry.started_at
+        if backend.entry.started_at <= 0 or rules.slow_start_time <= 0 or age >= rules.slow_start_time:
             return 1.0
-        return rules.cold_share + (1 - rules.cold_share) * max(0.0, age) / rules.warm_up
+        return (
+            rules.cold_capacity_fraction
+            + (1 - rules.cold_capacity_fraction) * max(0.0, age) / rules.slow_start_time
+        )
 
-    def cold_room(self, backend: Backend, warmth: float) -> bool:
+    def cold_room(self, backend: Endpoint, warmth: float) -> bool:
         """My part of a cold backend's budget over every window: half at once, half as it flows in.  Where
         that is below one request, the level each gateway starts from at random decides who sends first.
         """
         rules = self.settings.rules
         rate = self.warm_sends * math.exp((self.warm_at - self.now) / RATE_SPAN) / RATE_SPAN
-        budget = COLD_SAFETY * rules.fall_multiple * warmth * rate * rules.fall_time / max(1, len(self.near))
+        budget = (
+            COLD_SAFETY
+            * rules.cold_overload_multiple
+            * warmth
+            * rate
+            * rules.cold_overload_window
+            / max(1, len(self.near))
+        )
         # Some may warm by serving only.
         sharers = max(1.0, self.peers * len(self.near) / max(1, len(self.live)))
         budget = max(budget, LEAST_LIMIT / sharers)
-        flow = budget / 2 / max(EPS, rules.fall_time)
+        flow = budget / 2 / max(EPS, rules.cold_overload_window)
         level = min(max(1.0, budget / 2), backend.cold_level + (self.now - backend.cold_at) * flow)
         backend.cold_level, backend.cold_at = level, self.now
         return level >= 1.0
 
-    def expected(self, backend: Backend) -> float:
+    def expected(self, backend: Endpoint) -> float:
         """A silent backend is at least as slow as it has been silent; a bad figure fades."""
         oldest = next(iter(backend.out.values()), self.now)
         fade = math.exp((backend.seen - self.now) / RATE_SPAN)
         latency = min(backend.latency, self.latency + max(0.0, backend.latency - self.latency) * fade)
         return max(latency, self.now - max(oldest, backend.answered)) / self.warmth(backend)
 
-    def note(self, backend: Backend, report: tuple[float, ...]) -> None:
+    def note(self, backend: Endpoint, report: tuple[float, ...]) -> None:
         """Keep a load report.  One that is missing where others come means busy, not idle."""
         values = dict(zip(self.settings.report_columns, report, strict=False))
         load = values.get("inflight", values.get("queue", 0.0) + values.get("util", 0.0))
@@ -699,7 +745,7 @@
             load = self.load + 1
         backend.load, backend.load_at = load, self.now
 
-    def burden(self, backend: Backend) -> float:
+    def burden(self, backend: Endpoint) -> float:
         """What a backend holds, by its report; the fleet's mean where nothing new is known."""
         return 1 + (backend.load if self.now - backend.load_at < FRESH else self.load)
 
@@ -711,12 +757,12 @@
 
     def probe(self) -> None:
         """Ask a backend at random for its load, at most once a request and as often as keeps a pool fresh."""
-        limits, how = self.settings.limits, self.settings.report_how
+        limits, how = self.settings.limits, self.settings.report_mode
         # A report without a load is of no use here: a probe costs the backend work all the same.
         told = LOAD_COLUMNS.intersection(self.settings.report_columns)
-        if limits.probes and how == "pull" and told and self.live and self.now >= self.probe_at:
+        if limits.may_probe and how == "pull" and told and self.live and self.now >= self.probe_at:
             self.probe_at = self.now + FRESH / POOL
-            self.actions.append(i.Probe(self.random.choice(self.live).entry.backend))
+            self.actions.append(Probe(self.random.choice(self.live).entry.endpoint_id))
 
     def has_room(self) -> bool:
         """What hangs on silent backends must not take the room of those that answer."""
@@ -731,7 +777,7 @@
             hanging += 1
         return self.out - hanging < most
 
-    def choose(self, job: Job) -> Backend | None:
+    def choose(self, job: PendingRequest) -> Endpoint | None:
         """The best of those kept to that the rules leave, else of a few others that are warm."""
         allowed = self.allowed(job)
         if len(self.near) >= len(self.live):
@@ -740,14 +786,14 @@
             self.choose_near()
         # All are looked at only where no near one will do: a request must not cost what a whole list does.
         free = allowed is self.live
-        near = {b.entry.backend for b in self.near}
-        best = self.best(job, self.near if free else [b for b in allowed if b.entry.backend in near])
+        near = {b.entry.endpoint_id for b in self.near}
+        best = self.best(job, self.near if free else [b for b in allowed if b.entry.endpoint_id in near])
         if best is None:  # a cold one has enough gateways that keep to it
-            others = [b for b in allowed if b.entry.backend not in near and self.warmth(b) >= 1]
+            others = [b for b in allowed if b.entry.endpoint_id not in near and self.warmth(b) >= 1]
             best = self.best(job, others)
         return best
 
-    def best(self, job: Job, fits: list[Backend]) -> Backend | None:
+    def best(self, job: PendingRequest, fits: list[Endpoint]) -> Endpoint | None:
         best, best_score = None, math.inf
         if len(fits) > CANDIDATES:
             fits = self.random.sample(fits, CANDIDATES)
@@ -756,13 +802,13 @@
             most = max(
                 1.0, 2 * self.room * len(self.live) / len(self.near) * min(1.0, 1.5 * self.latency / expected)
             )
-            if len(backend.out) >= most or backend.entry.backend in job.tried[-2:]:
+            if len(backend.out) >= most or backend.entry.endpoint_id in job.tried[-2:]:
                 continue
             warmth = self.warmth(backend)
             if warmth < 1 and not self.cold_room(backend, warmth):
                 continue
             ahead = len(backend.out) + 1 + NEWEST * self.burden(backend)
-            if self.now - backend.silent.get(job.req.cls, -math.inf) < 2 * RATE_SPAN:
+            if self.now - backend.silent.get(job.req.class_index, -math.inf) < 2 * RATE_SPAN:
                 ahead *= EJECT
             score = expected * ahead * (1 + self.random.random() / 20)
             if score < best_score:
@@ -771,7 +817,7 @@
 
     # --- attempts and final answers --------------------------------------------------------------
 
-    def dispatch(self, job: Job) -> None:
+    def dispatch(self, job: PendingRequest) -> None:
         """Send a job to the best backend, or queue it while none has room.  Credit under a ceiling
         lapses with its window for a held request too, or held ones would pass the ceiling together.
         """
@@ -788,14 +834,14 @@
         elif not job.out:
             self.queue.append(job)
 
-    def send(self, job: Job, backend: Backend) -> None:
-        backend.out[job.req.request, job.attempts] = self.now
-        self.sent[job.req.request, job.attempts] = self.now
+    def send(self, job: PendingRequest, backend: Endpoint) -> None:
+        backend.out[job.req.request_id, job.attempts] = self.now
+        self.sent[job.req.request_id, job.attempts] = self.now
         self.out += 1
         self.flying += not job.out
         job.out[job.attempts] = backend, self.now
         job.attempts += 1
-        job.tried.append(backend.entry.backend)
+        job.tried.append(backend.entry.endpoint_id)
         if self.warmth(backend) < 1:
             backend.cold_level -= 1
         else:
@@ -803,48 +849,48 @@
             self.warm_sends, self.warm_at = self.warm_sends + 1, self.now
         if job.attempts == 1:
             self.resends = min(10.0, self.resends + RESEND_BUDGET)
-        self.actions.append(i.Send(job.req.request, backend.entry.backend, 0.0))
+        self.actions.append(StartAttempt(job.req.request_id, backend.entry.endpoint_id, 0.0))
 
-    def on_finished(self, event: i.Finished) -> None:
-        backend = self.backends.get(event.backend)
-        if backend and (sent := backend.out.pop((event.request, event.attempt), None)) is not None:
-            self.out -= backend.state is State.READY
+    def on_finished(self, event: AttemptFinished) -> None:
+        backend = self.backends.get(event.endpoint_id)
+        if backend and (sent := backend.out.pop((event.request_id, event.attempt), None)) is not None:
+            self.out -= backend.state is EndpointState.READY
             self.observe(backend, event, sent)
-            if backend.state is State.GONE and not backend.out:
-                del self.backends[event.backend]  # ids are ever new: kept ones would pile up
-        self.sent.pop((event.request, event.attempt), None)
-        job = self.jobs.get(event.request)
+            if backend.state is EndpointState.GONE and not backend.out:
+                del self.backends[event.endpoint_id]  # ids are ever new: kept ones would pile up
+        self.sent.pop((event.request_id, event.attempt), None)
+        job = self.jobs.get(event.request_id)
         if job:
             gone = job.out.pop(event.attempt, None)
             self.flying -= gone is not None and not job.out
             if gone and not event.outcome.never_ran and (job.ran is None or gone[1] < job.ran[1]):
                 job.ran = gone
-            if event.closed or event.outcome is Outcome.OK:
+            if event.request_closed or event.outcome is Outcome.OK:
                 self.close(job)
             if not job.out:
                 (self.close if job.closed else self.further)(job)
         self.pump()
 
-    def observe(self, backend: Backend, event: i.Finished, sent: float) -> None:
+    def observe(self, backend: Endpoint, event: AttemptFinished, sent: float) -> None:
         """Additive increase, multiplicative decrease of what may be out at a mean backend: one for all."""
-        if event.outcome in (Outcome.CANCELLED, Outcome.MOOT):
+        if event.outcome in (Outcome.CANCELLED, Outcome.NOT_STARTED):
             return
         took, backend.seen = self.now - sent, self.now
-        if event.report:
-            self.note(backend, event.report)
-        good, job = event.outcome is Outcome.OK, self.jobs.get(event.request)
+        if event.load_report:
+            self.note(backend, event.load_report)
+        good, job = event.outcome is Outcome.OK, self.jobs.get(event.request_id)
         if good and job:
-            backend.silent.pop(job.req.cls, None)
+            backend.silent.pop(job.req.class_index, None)
             self.took += SMOOTH * (took - self.took)
             self.met += SMOOTH * (self.burden(backend) - self.met)
-            backend.answered = backend.heard[job.req.cls] = self.now
+            backend.answered = backend.heard[job.req.class_index] = self.now
             self.latency += SMOOTH / 4 * (took - self.latency)
-            self.usual[job.req.cls] += SMOOTH / 4 * (took - self.usual[job.req.cls])
+            self.usual[job.req.class_index] += SMOOTH / 4 * (took - self.usual[job.req.class_index])
         backend.latency += SMOOTH * ((took if good else max(took, 2 * self.latency)) - backend.latency)
         if event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             # It is down, whatever the list says: out of the way at once, tried again as this fades.
             backend.latency = max(backend.latency, EJECT * self.latency)
-        late = not good or (job is not None and took > TARGET * job.cls.aim)
+        late = not good or (job is not None and took > TARGET * job.cls.latency_objective)
         if backend.latency < SUSPECT * self.latency and event.outcome is not Outcome.CONNECT_FAILED:
             self.missed += SMOOTH / 2 * (late - self.missed)  # one bad backend says nothing of the fleet
         if self.missed < MISSED:
@@ -854,7 +900,7 @@
             self.lowered = self.now
             self.room = max(LEAST_LIMIT / self.peers, self.room * BACKOFF)
 
-    def further(self, job: Job) -> None:
+    def further(self, job: PendingRequest) -> None:
         """No attempt is out and none served: try again where its class allows, else end it."""
         # A host times an attempt out a little early: what is left then serves nobody.
         more = job.attempts < self.settings.limits.max_attempts and self.now < job.end - MARGIN - TICK
@@ -865,30 +911,30 @@
         else:
             self.dispatch(job)
 
-    def end(self, job: Job) -> None:
+    def end(self, job: PendingRequest) -> None:
         """The final answer: a refusal where that is true, for a failure promises nothing."""
-        effect, everywhere = job.cls.effect, job.cls.scope is Scope.ALL
-        harmless = effect is Effect.SAFE or (effect is Effect.KEYED and everywhere)
+        effect, everywhere = job.cls.effect, job.cls.dedup_scope is DedupScope.ALL
+        harmless = effect is Effect.IDEMPOTENT or (effect is Effect.IDEMPOTENT_WITH_KEY and everywhere)
         if not job.out and (job.ran is None or harmless):
             self.refuse(job, self.latency)  # by then about as much has left the fleet as is out now
         else:
             self.close(job)
-            self.actions.append(i.Fail(job.req.request))
+            self.actions.append(Fail(job.req.request_id))
 
-    def refuse(self, job: Job, retry_after: float) -> None:
+    def refuse(self, job: PendingRequest, retry_after: float) -> None:
         self.close(job)
         most = self.settings.limits.max_retry_after  # told also where clients at large do not heed it
-        self.actions.append(i.Refuse(job.req.request, min(max(0.0, retry_after), most)))
+        self.actions.append(Reject(job.req.request_id, min(max(0.0, retry_after), most)))
 
-    def close(self, job: Job | None) -> None:
+    def close(self, job: PendingRequest | None) -> None:
         """Late or repeated news changes nothing.  A slot is in use until the last attempt is over."""
-        if job and not job.out and job.req.request in self.jobs:
-            del self.jobs[job.req.request]
+        if job and not job.out and job.req.request_id in self.jobs:
+            del self.jobs[job.req.request_id]
             self.release(job, unsent=job.attempts == 0)
         if job:
             job.closed = True
 
-    def on_left(self, job: Job | None) -> None:
+    def on_left(self, job: PendingRequest | None) -> None:
         """Its client has left: nothing is leased for it any more, nor sent."""
         if job:
             for lease in (lease for lease in job.leases if job in lease.waiters):
@@ -899,7 +945,10 @@
         """Send queued jobs, most worth per work first, while backends have room."""
         if not self.queue or not self.has_room():
             return
-        waiting, self.queue = sorted(self.queue, key=lambda j: -j.cls.worth * j.plan.price), []
+        waiting, self.queue = (
+            sorted(self.queue, key=lambda j: -j.cls.priority_weight * j.plan.price_weight),
+            [],
+        )
         for job in waiting:
             # After a few the rest would not fare better, and a long queue costs CPU.
             self.queue.append(job) if len(self.queue) > 3 else self.dispatch(job)
@@ -914,13 +963,13 @@
         due = self.now + TICK * (1 if held else WATCH_TICKS)
         if not self.now + EPS < self.tick_at <= due:  # a host may round a timer down a little
             self.tick_at = due
-            self.actions.append(i.SetTimer(due, 1))
+            self.actions.append(SetTimer(due, 1))
 
     def tick(self) -> None:
         # Whatever holds a request (a lease, the queue), it ends before its client's time does, and
         # before it is started if it cannot finish in its aim.
         for job in [j for j in self.jobs.values() if not j.out]:
-            hopeless = not job.attempts and self.now + self.latency > job.arrived + job.cls.aim
+            hopeless = not job.attempts and self.now + self.latency > job.arrived + job.cls.latency_objective
             if hopeless or self.now > job.end - MARGIN - TICK:
                 self.end(job)
         self.turns()
@@ -945,21 +994,21 @@
         limits = self.settings.limits
         for job in [j for j in self.jobs.values() if not j.closed and len(j.out) == 1]:
             ((attempt, (backend, sent)),) = job.out.items()
-            usual = self.usual[job.req.cls]
+            usual = self.usual[job.req.class_index]
             # Any class's answer hides that another gets none: silence is judged by backend and class.
-            silent = self.now - max(sent, backend.heard.get(job.req.cls, 0.0)) >= SILENCE * usual
+            silent = self.now - max(sent, backend.heard.get(job.req.class_index, 0.0)) >= SILENCE * usual
             if silent:
-                backend.silent[job.req.cls] = self.now
+                backend.silent[job.req.class_index] = self.now
             wait = (SILENCE if silent else LOST) * usual * 2 ** (job.attempts - 1)
-            useless = self.now + usual > job.arrived + job.cls.aim
+            useless = self.now + usual > job.arrived + job.cls.latency_objective
             if useless or job.attempts >= limits.max_attempts or self.now - sent < wait:
                 continue
             if self.resends >= 1 and self.has_room() and (target := self.choose(job)):
                 self.resends -= 1
-                if limits.second_copies:
+                if limits.may_hedge:
                     self.send(job, target)
-                elif limits.cancel:  # `further` sends again
-                    self.actions.append(i.Cancel(job.req.request, attempt))
+                elif limits.may_cancel:  # `further` sends again
+                    self.actions.append(Cancel(job.req.request_id, attempt))
 
     def scan(self) -> None:
         """Idle credit of customers near their limit goes back, and slots that nobody uses."""
--- a/gateway/policy_driver.py
+++ b/gateway/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the one Gateway: events in, its actions carried out in order, the table of open requests."""
+"""Drives the one Policy: events in, its actions carried out in order, the table of open requests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,34 @@
 from dataclasses import dataclass, field
 
 from gateway.config import Address
-from gateway.counter.client import Counter
-from gateway.policy import interface as i
-from gateway.policy.engine import Gateway
-from gateway.policy.interface import Outcome, State
-from gateway.upstream.client import Attempt, Result, Upstream
+from gateway.counter.client import CounterClient
+from gateway.policy.actions import (
+    Action,
+    AddToCounter,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Log,
+    Probe,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from gateway.policy.engine import Policy
+from gateway.policy.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    CounterReply,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    ProbeFinished,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
+from gateway.upstream.client import Attempt, Result, UpstreamClient
 
 ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
 GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
@@ -24,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """A final answer.  `status` 200 serves, 503 refuses, any other fails."""
 
     status: int
@@ -34,12 +57,12 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """A request that still needs an answer, or whose attempts are still out."""
 
     number: int
     payload: Callable[[float], bytes]  # what goes to a backend, given the time that is left
-    reply: Callable[[Answer], None]
+    reply: Callable[[Response], None]
     over: Callable[[], None]  # hears when it is answered and none of its attempts is out
     end: float  # monotonic time at which its client gives up
     guard: asyncio.TimerHandle | None = None
@@ -49,14 +72,14 @@
     settled: bool = False  # answered, or nobody waits any more
 
 
-class Host:
-    def __init__(self, gateway: Gateway, upstream: Upstream) -> None:
+class PolicyDriver:
+    def __init__(self, gateway: Policy, upstream: UpstreamClient) -> None:
         self.gateway, self.upstream = gateway, upstream
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         self.limits = gateway.settings.limits
         self.loop = asyncio.get_running_loop()
-        self.table: dict[int, Open] = {}
-        self.events: deque[i.Event] = deque()
+        self.table: dict[int, OpenRequest] = {}
+        self.events: deque[Event] = deque()
         self.busy = False
         self.now = 0.0
         self.number = 0
@@ -70,7 +93,7 @@
         self.now = max(self.now, time.time())
         return self.now
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand an event to the module.  Those that its actions bring about wait for their turn."""
         self.events.append(event)
         if self.busy:
@@ -82,7 +105,7 @@
         finally:
             self.busy = False
 
-    def step(self, event: i.Event) -> None:
+    def step(self, event: Event) -> None:
         gateway = self.gateway
         failed = False
         try:
@@ -96,29 +119,29 @@
                 self.carry_out(action)
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
-                if isinstance(action, i.Send | i.Refuse | i.Fail):
-                    self.give_up(action.request)
-        if failed and isinstance(event, i.Request | i.Finished):
-            self.give_up(event.request)
+                if isinstance(action, StartAttempt | Reject | Fail):
+                    self.give_up(action.request_id)
+        if failed and isinstance(event, Request | AttemptFinished):
+            self.give_up(event.request_id)
 
     def give_up(self, number: int) -> None:
         """A truthful final answer for a request that an error has left without one."""
         request = self.table.get(number)
         if request is not None and not request.settled and not request.out:
-            self.settle(request, Answer(502 if request.may_have_run else 503))
-            self.events.append(i.Left(number))
+            self.settle(request, Response(502 if request.may_have_run else 503))
+            self.events.append(ClientDisconnected(number))
             self.drop(request)
 
     def request(
         self,
-        make: Callable[[int], i.Request],
+        make: Callable[[int], Request],
         end: float,
         payload: Callable[[float], bytes],
-        reply: Callable[[Answer], None],
+        reply: Callable[[Response], None],
         over: Callable[[], None],
-    ) -> Open:
+    ) -> OpenRequest:
         self.number += 1
-        request = Open(self.number, payload, reply, over, end)
+        request = OpenRequest(self.number, payload, reply, over, end)
         self.table[request.number] = request
         self.waiting += 1
         left = end - GUARD_MARGIN - time.monotonic()
@@ -126,29 +149,29 @@
         self.post(make(request.number))
         return request
 
-    def left(self, request: Open) -> None:
+    def left(self, request: OpenRequest) -> None:
         """The client has gone away; attempts that are out run on, those that only wait are given up."""
         if not request.settled:
             self.settle(request, None)
-            self.post(i.Left(request.number))
+            self.post(ClientDisconnected(request.number))
             self.give_up_waiting(request)
             self.drop(request)
 
-    def give_up_waiting(self, request: Open) -> None:
+    def give_up_waiting(self, request: OpenRequest) -> None:
         """What is not written whole must not be, as nobody waits for it or it is answered: it never ran."""
         for attempt in list(request.out.values()):
             if attempt.link is None or attempt.link.unsent:
                 attempt.give_up(Outcome.CANCELLED)
 
-    def overdue(self, request: Open) -> None:
+    def overdue(self, request: OpenRequest) -> None:
         """Guards the rule that no request is lost: its client's time is nearly up, and nobody answered."""
         if request.settled:
             return
         for attempt in list(request.out.values()):
             attempt.give_up(Outcome.TIMEOUT)
         if not request.settled:  # what never ran may have been answered just now
-            self.settle(request, Answer(504))
-            self.post(i.Left(request.number))
+            self.settle(request, Response(504))
+            self.post(ClientDisconnected(request.number))
             self.drop(request)
 
     def answer_all(self) -> None:
@@ -156,56 +179,56 @@
         for request in list(self.table.values()):
             self.overdue(request)
 
-    def members(self, members: i.Members, addresses: dict[int, Address]) -> None:
-        if members.listing is not i.Listing.DELTA:
+    def members(self, members: EndpointUpdate, addresses: dict[int, Address]) -> None:
+        if members.kind is not UpdateKind.DELTA:
             for backend in [b for b in self.upstream.pools if b not in addresses]:
                 self.upstream.remove(backend)
-        for entry in members.entries:
-            if entry.state is State.GONE:
-                self.upstream.remove(entry.backend)
+        for entry in members.records:
+            if entry.state is EndpointState.GONE:
+                self.upstream.remove(entry.endpoint_id)
             else:
-                self.upstream.place(entry.backend, addresses[entry.backend], entry.started)
-            if entry.state is State.DRAINING:
-                self.upstream.withdraw(entry.backend)
+                self.upstream.place(entry.endpoint_id, addresses[entry.endpoint_id], entry.started_at)
+            if entry.state is EndpointState.DRAINING:
+                self.upstream.withdraw(entry.endpoint_id)
         self.post(members)
 
     # --- actions out -------------------------------------------------------------------------------
 
-    def carry_out(self, action: i.Action) -> None:
+    def carry_out(self, action: Action) -> None:
         match action:
-            case i.Send():
+            case StartAttempt():
                 self.send(action)
-            case i.SetTimer():
+            case SetTimer():
                 self.set_timer(action.at, action.token)
-            case i.Count():
+            case AddToCounter():
                 if self.counter is None:
-                    self.events.append(i.Counted(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
+                    self.events.append(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
                 else:
                     self.counter.add(action)
-            case i.Refuse():
-                self.end(action.request, Answer(503, retry_after=action.retry_after))
-            case i.Fail():
-                self.end(action.request, Answer(502))
-            case i.Cancel():
-                request = self.table.get(action.request)
+            case Reject():
+                self.end(action.request_id, Response(503, retry_after=action.retry_after))
+            case Fail():
+                self.end(action.request_id, Response(502))
+            case Cancel():
+                request = self.table.get(action.request_id)
                 if request is not None and (attempt := request.out.get(action.attempt)) is not None:
                     attempt.give_up(Outcome.CANCELLED)
-            case i.Probe():
-                backend = action.backend
+            case Probe():
+                backend = action.endpoint_id
                 self.upstream.probe(
-                    backend, lambda r: self.post(i.Probed(backend, r.outcome, r.spent, r.report))
+                    backend, lambda r: self.post(ProbeFinished(backend, r.outcome, r.spent, r.report))
                 )
-            case i.CloseIdle():
-                self.upstream.close_idle(action.backend)
-            case i.Log():
+            case CloseIdle():
+                self.upstream.close_idle(action.endpoint_id)
+            case Log():
                 log.info("module: %s", action.text)
             case _:  # discovery is always watched, and front doors cannot talk to each other
                 if type(action).__name__ not in self.unknown:
                     self.unknown.add(type(action).__name__)
                     log.warning("not supported here: %s", type(action).__name__)
 
-    def send(self, action: i.Send) -> None:
-        request = self.table.get(action.request)
+    def send(self, action: StartAttempt) -> None:
+        request = self.table.get(action.request_id)
         number = request.sent if request is not None else 0
         if request is not None:
             request.sent += 1
@@ -215,31 +238,33 @@
             or request.settled
             or left <= 0
             or number >= self.limits.max_attempts
-            or (request.out and not self.limits.second_copies)
+            or (request.out and not self.limits.may_hedge)
         ):
             closed = request is None or request.settled
             self.events.append(
-                i.Finished(action.request, number, action.backend, Outcome.MOOT, closed, 0.0, 0, 0, ())
+                AttemptFinished(
+                    action.request_id, number, action.endpoint_id, Outcome.NOT_STARTED, closed, 0.0, 0, 0, ()
+                )
             )
             return
         timeout = min(left, action.timeout) if action.timeout > 0 else left
 
         def done(result: Result) -> None:
-            self.finished(request, number, action.backend, result)
+            self.finished(request, number, action.endpoint_id, result)
 
-        attempt = self.upstream.start(action.backend, request.payload(timeout), timeout, done)
+        attempt = self.upstream.start(action.endpoint_id, request.payload(timeout), timeout, done)
         if not attempt.over:
             request.out[number] = attempt
 
-    def finished(self, request: Open, number: int, backend: int, result: Result) -> None:
+    def finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         request.out.pop(number, None)
         if not result.outcome.never_ran:
             request.may_have_run = True
         if result.outcome is Outcome.OK and not request.settled:
-            self.settle(request, Answer(200, result.body, result.content_type))
+            self.settle(request, Response(200, result.body, result.content_type))
         closed = request.settled
         self.post(
-            i.Finished(
+            AttemptFinished(
                 request.number, number, backend, result.outcome, closed, result.spent, 0, 0, result.report
             )
         )
@@ -247,14 +272,14 @@
             self.give_up_waiting(request)
         self.drop(request)
 
-    def end(self, number: int, answer: Answer) -> None:
+    def end(self, number: int, answer: Response) -> None:
         request = self.table.get(number)
         if request is not None and not request.settled:
             self.settle(request, answer)
             self.give_up_waiting(request)
             self.drop(request)
 
-    def settle(self, request: Open, answer: Answer | None) -> None:
+    def settle(self, request: OpenRequest, answer: Response | None) -> None:
         request.settled = True
         self.waiting -= 1
         if request.guard is not None:
@@ -262,7 +287,7 @@
         if answer is not None:
             request.reply(answer)
 
-    def drop(self, request: Open) -> None:
+    def drop(self, request: OpenRequest) -> None:
         if request.settled and not request.out and self.table.pop(request.number, None) is not None:
             request.over()
 
@@ -275,4 +300,4 @@
         if self.clock() < at:
             self.set_timer(at, token)
         else:
-            self.post(i.Fired(token))
+            self.post(TimerFired(token))
--- a/gateway/settings_parser.py
+++ b/gateway/settings_parser.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gateway.policy import interface as i
+from gateway.policy.settings import DedupScope, Effect, Limits, Plan, RequestClass, Rules, Settings
 
 
 class SettingsError(ValueError):
@@ -50,74 +50,74 @@
     def listed(self, key: str) -> tuple[str, ...]:
         return tuple(part for part in self.values.get(key, "").split(",") if part)
 
-    def effect(self, key: str) -> i.Effect:
+    def effect(self, key: str) -> Effect:
         try:
-            return i.Effect(self.text(key))
+            return Effect(self.text(key))
         except ValueError:
             raise SettingsError(f"setting {key} is no effect: {self.text(key)}") from None
 
-    def scope(self, key: str) -> i.Scope:
+    def scope(self, key: str) -> DedupScope:
         try:
-            return i.Scope(self.text(key, "all"))
+            return DedupScope(self.text(key, "all"))
         except ValueError:
             raise SettingsError(f"setting {key} is no scope: {self.text(key)}") from None
 
 
-def _class(r: _Reader, p: str) -> i.RequestClass:
-    return i.RequestClass(
+def _class(r: _Reader, p: str) -> RequestClass:
+    return RequestClass(
         name=r.text(p + "name"),
-        aim=r.number(p + "goal_time_s"),
+        latency_objective=r.number(p + "goal_time_s"),
         deadline=r.number(p + "deadline_s"),
         effect=r.effect(p + "effect"),
-        scope=r.scope(p + "dedup_scope"),
-        memory=r.number(p + "memory_span_s", 0.0),
-        worth=r.number(p + "worth"),
-        late_worth=r.number(p + "late_value", 0.0),
+        dedup_scope=r.scope(p + "dedup_scope"),
+        dedup_window=r.number(p + "memory_span_s", 0.0),
+        priority_weight=r.number(p + "worth"),
+        late_weight=r.number(p + "late_value", 0.0),
         stream=r.flag(p + "stream", False),
     )
 
 
-def _plan(r: _Reader, p: str) -> i.Plan:
-    return i.Plan(
+def _plan(r: _Reader, p: str) -> Plan:
+    return Plan(
         name=r.text(p + "name"),
         rate=r.number(p + "quota_rate", 0.0),
         burst=r.number(p + "peak_units", 0.0),
-        parallel=r.whole(p + "parallel", 0),
-        price=r.number(p + "pays"),
-        over_cost=r.number(p + "over_cost", 0.0),
-        over_worth=r.number(p + "beyond_earns", 0.0),
+        max_concurrency=r.whole(p + "parallel", 0),
+        price_weight=r.number(p + "pays"),
+        over_quota_cost=r.number(p + "over_cost", 0.0),
+        over_quota_weight=r.number(p + "beyond_earns", 0.0),
         ceiling_rate=r.number(p + "never_over_rate", 0.0),
         ceiling_burst=r.number(p + "hard_burst", 0.0),
         ceiling_slack=r.number(p + "ceiling_slack", 0.0),
     )
 
 
-def parse_settings(text: str) -> i.Settings:
+def parse_settings(text: str) -> Settings:
     """The settings message as a typed object; keys it does not know are skipped."""
     r = _Reader(text)
-    rules = i.Rules(
+    rules = Rules(
         answer_slack=r.number("rules.answer_slack_s"),
         drain_grace=r.number("rules.drain_grace_s"),
-        cold_share=r.number("rules.cold_share"),
-        warm_up=r.number("rules.warm_up_s"),
-        fall_multiple=r.number("rules.fall_multiple"),
-        fall_time=r.number("rules.fall_s"),
-        ask_within=r.number("rules.ask_within_s", 0.0),
+        cold_capacity_fraction=r.number("rules.cold_share"),
+        slow_start_time=r.number("rules.warm_up_s"),
+        cold_overload_multiple=r.number("rules.fall_multiple"),
+        cold_overload_window=r.number("rules.fall_s"),
+        poll_within=r.number("rules.ask_within_s", 0.0),
     )
-    limits = i.Limits(
+    limits = Limits(
         max_attempts=r.whole("caps.max_attempts"),
-        second_copies=r.flag("caps.second_copies"),
-        cancel=r.flag("caps.cancel", False),
-        probes=r.flag("caps.may_probe", False),
-        retry_after=r.flag("caps.retry_after", False),
+        may_hedge=r.flag("caps.second_copies"),
+        may_cancel=r.flag("caps.cancel", False),
+        may_probe=r.flag("caps.may_probe", False),
+        may_tell_retry_after=r.flag("caps.retry_after", False),
         max_retry_after=r.number("caps.max_retry_after_s", 0.0),
         connect_timeout=r.number("caps.connect_timeout_s"),
     )
     prices = {k.removeprefix("penalties."): r.number(k) for k in r.values if k.startswith("penalties.")}
     has_counter = r.flag("extra.has_counter", False)
-    return i.Settings(
-        me=r.whole("me"),
-        peers=r.whole("peers_total"),
+    return Settings(
+        gateway_index=r.whole("me"),
+        gateway_count=r.whole("peers_total"),
         zone=r.whole("az"),
         zones=r.listed("zones"),
         period=r.number("period_s"),
@@ -128,10 +128,10 @@
         has_counter=has_counter,
         counter_price=r.number("extra.counter_price", 0.0),
         counter_timeout=r.number("extra.counter_timeout_s") if has_counter else 0.0,
-        settles=r.flag("extra.settles", False),
+        settles_usage=r.flag("extra.settles", False),
         membership_push=r.text("membership_mode", "push") == "push",
         weight_source=r.text("weight_source", "silent"),
-        report_how=r.text("report.how", "silent"),
+        report_mode=r.text("report.how", "silent"),
         report_columns=r.listed("report.columns"),
         prices=prices,
     )
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -5,22 +5,22 @@
 import sys
 from typing import BinaryIO
 
-from gateway.policy import interface as i
-from gateway.policy.engine import Gateway
+from gateway.policy.actions import Action
+from gateway.policy.engine import Policy
 from gateway.settings_parser import parse_settings
 from gateway.simulator import codec
 
-Listed = list[i.Action | codec.Fault]
+Listed = list[Action | codec.Fault]
 
 
-def answer(gateways: dict[int, Gateway], batch: codec.Batch) -> bytes:
+def answer(gateways: dict[int, Policy], batch: codec.Batch) -> bytes:
     """Hand a batch's events to their instances and encode what they do."""
     out: dict[int, Listed] = {}
     for instance, event in batch.records:
         listed = out.setdefault(instance, [])
         try:
             if isinstance(event, codec.Configure):
-                gateways[instance] = Gateway(parse_settings(event.text), event.seed)
+                gateways[instance] = Policy(parse_settings(event.text), event.seed)
             elif isinstance(event, codec.Crash):
                 gateways.pop(instance, None)
                 listed.clear()
@@ -48,7 +48,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    gateways: dict[int, Gateway] = {}
+    gateways: dict[int, Policy] = {}
     while (batch := read_batch(source)) is not None:
         sink.write(answer(gateways, batch))
         sink.flush()
--- a/gateway/simulator/codec.py
+++ b/gateway/simulator/codec.py
@@ -6,7 +6,37 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from gateway.policy import interface as i
+from gateway.policy.actions import (
+    Action,
+    AddToCounter,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchEndpoints,
+    Log,
+    Probe,
+    Reject,
+    SendToPeers,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from gateway.policy.events import (
+    AttemptFinished,
+    AttemptStarted,
+    ClientDisconnected,
+    CounterReply,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    PeerMessage,
+    ProbeFinished,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
 
 
 class WireError(ValueError):
@@ -33,7 +63,7 @@
 class Batch:
     now: float
     number: int
-    records: list[tuple[int, i.Event | Configure | Crash]]
+    records: list[tuple[int, Event | Configure | Crash]]
 
 
 HEADER = struct.Struct("<IIdI")
@@ -66,13 +96,13 @@
 _ALL_PEERS = 0xFFFFFFFF
 _TEXT_LIMIT = 0xFFFF
 
-_OUTCOMES = {int(o): o for o in i.Outcome}
-_STATES = {int(s): s for s in i.State}
-_LISTINGS = {int(k): k for k in i.Listing}
-_Got = tuple[i.Event | Configure | Crash, int]
+_OUTCOMES = {int(o): o for o in Outcome}
+_STATES = {int(s): s for s in EndpointState}
+_LISTINGS = {int(k): k for k in UpdateKind}
+_Got = tuple[Event | Configure | Crash, int]
 
 
-def _outcome(code: int) -> i.Outcome:
+def _outcome(code: int) -> Outcome:
     try:
         return _OUTCOMES[code]
     except KeyError:
@@ -101,13 +131,13 @@
     for zone, started, state, kind, cell, weight, backend in _ENTRY.iter_unpack(body):
         if state not in _STATES:
             raise WireError(f"unknown backend state {state}")
-        entries.append(i.Entry(backend, zone, started, _STATES[state], kind, cell, weight))
-    return i.Members(_LISTINGS[form], version, tuple(entries)), at + len(body)
+        entries.append(EndpointRecord(backend, zone, started, _STATES[state], kind, cell, weight))
+    return EndpointUpdate(_LISTINGS[form], version, tuple(entries)), at + len(body)
 
 
 def _demand(buf: bytes, at: int) -> _Got:
     rid, cls, plan, customer, left, units, width, first, marks = _DEMAND.unpack_from(buf, at)
-    event = i.Request(
+    event = Request(
         rid, cls, plan, customer, left, units, int(width), int(first),
         bool(marks & _MARK_RETRY), bool(marks & _MARK_WRITE),
     )  # fmt: skip
@@ -115,7 +145,7 @@
 
 
 def _under_way(buf: bytes, at: int) -> _Got:
-    return i.UnderWay(*_UNDER_WAY.unpack_from(buf, at)), at + _UNDER_WAY.size
+    return AttemptStarted(*_UNDER_WAY.unpack_from(buf, at)), at + _UNDER_WAY.size
 
 
 def _report(buf: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
@@ -126,28 +156,30 @@
 def _finished(buf: bytes, at: int) -> _Got:
     rid, charged, closed, backend, how, spent, metered, attempt, count = _FINISHED.unpack_from(buf, at)
     report, at = _report(buf, at + _FINISHED.size, count)
-    event = i.Finished(rid, attempt, backend, _outcome(how), bool(closed), spent, charged, metered, report)
+    event = AttemptFinished(
+        rid, attempt, backend, _outcome(how), bool(closed), spent, charged, metered, report
+    )
     return event, at
 
 
 def _left(buf: bytes, at: int) -> _Got:
-    return i.Left(_ID.unpack_from(buf, at)[0]), at + _ID.size
+    return ClientDisconnected(_ID.unpack_from(buf, at)[0]), at + _ID.size
 
 
 def _fired(buf: bytes, at: int) -> _Got:
-    return i.Fired(_ID.unpack_from(buf, at)[0]), at + _ID.size
+    return TimerFired(_ID.unpack_from(buf, at)[0]), at + _ID.size
 
 
 def _checked(buf: bytes, at: int) -> _Got:
     backend, how, spent, count = _CHECKED.unpack_from(buf, at)
     report, at = _report(buf, at + _CHECKED.size, count)
-    return i.Probed(backend, _outcome(how), spent, report), at
+    return ProbeFinished(backend, _outcome(how), spent, report), at
 
 
 def _says(buf: bytes, at: int) -> _Got:
     source, size = _SAYS.unpack_from(buf, at)
     at += _SAYS.size
-    return i.PeerSays(source, _bytes(buf, at, size)), at + size
+    return PeerMessage(source, _bytes(buf, at, size)), at + size
 
 
 def _crash(buf: bytes, at: int) -> _Got:
@@ -156,7 +188,7 @@
 
 def _sum(buf: bytes, at: int) -> _Got:
     how, name, total, spent = _SUM.unpack_from(buf, at)
-    return i.Counted(name, _outcome(how), total, spent), at + _SUM.size
+    return CounterReply(name, _outcome(how), total, spent), at + _SUM.size
 
 
 _AT = 12
@@ -197,35 +229,35 @@
     return batch
 
 
-def encode_action(action: i.Action | Fault) -> bytes:
+def encode_action(action: Action | Fault) -> bytes:
     """One action as the record that carries it."""
     match action:
-        case i.Send():
-            return _ASSIGN.pack(1, action.request, action.backend, action.timeout)
-        case i.Count():
-            return _TALLY.pack(13, action.name, action.expires, action.amount)
-        case i.SetTimer():
+        case StartAttempt():
+            return _ASSIGN.pack(1, action.request_id, action.endpoint_id, action.timeout)
+        case AddToCounter():
+            return _TALLY.pack(13, action.name, action.expires_after, action.amount)
+        case SetTimer():
             return _TIMER.pack(5, action.at, action.token)
-        case i.Refuse():
-            return _BOUNCE.pack(2, action.request, action.retry_after)
-        case i.Fail():
-            return _CODE_ID.pack(3, action.request)
-        case i.Cancel():
-            return _CALL_OFF.pack(4, action.request, action.attempt)
-        case i.Probe():
-            return _CODE_U32.pack(6, action.backend)
-        case i.CloseIdle():
-            return _CODE_U32.pack(7, action.backend)
-        case i.Tell():
+        case Reject():
+            return _BOUNCE.pack(2, action.request_id, action.retry_after)
+        case Fail():
+            return _CODE_ID.pack(3, action.request_id)
+        case Cancel():
+            return _CALL_OFF.pack(4, action.request_id, action.attempt)
+        case Probe():
+            return _CODE_U32.pack(6, action.endpoint_id)
+        case CloseIdle():
+            return _CODE_U32.pack(7, action.endpoint_id)
+        case SendToPeers():
             peer = _ALL_PEERS if action.peer is None else action.peer
             return _ANNOUNCE.pack(8, peer, len(action.data)) + action.data
-        case i.Log():
+        case Log():
             return _text(9, action.text)
         case Fault():
             return _text(10, action.text)
-        case i.Watch():
-            return _CODE_FLAG.pack(11, action.on)
-        case i.Pull():
+        case WatchEndpoints():
+            return _CODE_FLAG.pack(11, action.enabled)
+        case FetchEndpoints():
             return b"\x0c"
     raise WireError(f"not an action: {action!r}")
 
@@ -235,7 +267,7 @@
     return _TEXT.pack(code, len(data)) + data
 
 
-def encode_reply(number: int, actions: Iterable[tuple[int, list[i.Action | Fault]]]) -> bytes:
+def encode_reply(number: int, actions: Iterable[tuple[int, list[Action | Fault]]]) -> bytes:
     """The reply to one batch: each instance's actions behind a BY record."""
     parts: list[bytes] = []
     for instance, listed in actions:
--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -15,7 +15,7 @@
 import httptools
 
 from gateway.config import Address
-from gateway.policy.interface import Outcome
+from gateway.policy.events import Outcome
 
 MOST_BODY = 64 * 1024  # of an answer, by the protocol
 MOST_HEAD = 16 * 1024  # with those of interim answers
@@ -48,7 +48,7 @@
     def __init__(self, payload: bytes, done: Callable[[Result], None]) -> None:
         self.payload, self.done = payload, done
         self.began = time.perf_counter()
-        self.link: Link | None = None  # once its first byte may have been written
+        self.link: UpstreamConnection | None = None  # once its first byte may have been written
         self.timer: asyncio.TimerHandle | None = None
         self.verdict: Outcome | None = None  # why it was given up here
         self.over = False
@@ -71,20 +71,20 @@
             return
         if self.link is None:
             # Nothing was written: it never ran, whatever the reason for giving it up.
-            self.fail(Outcome.MOOT if why is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
+            self.fail(Outcome.NOT_STARTED if why is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         else:
             self.verdict = why
             self.link.abort()
 
 
-class Spoilt(Exception):
+class MalformedResponseError(Exception):
     """Stops the parser: what comes is not, or no longer, part of an answer to the attempt."""
 
 
-class Link(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """One connection to a backend; it carries one attempt at a time."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
@@ -182,7 +182,7 @@
 
     def on_message_begin(self) -> None:
         if self.result is not None:
-            raise Spoilt("bytes behind the answer")
+            raise MalformedResponseError("bytes behind the answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
@@ -200,12 +200,12 @@
     def on_headers_complete(self) -> None:
         self.headed = self.parser.get_status_code() >= 200
         if self.length > MOST_BODY:
-            raise Spoilt(f"announces {self.length} bytes")
+            raise MalformedResponseError(f"announces {self.length} bytes")
 
     def on_body(self, body: bytes) -> None:
         self.size += len(body)
         if self.size > MOST_BODY:
-            raise Spoilt(f"over {MOST_BODY} bytes")
+            raise MalformedResponseError(f"over {MOST_BODY} bytes")
         self.body.append(body)
 
     def on_message_complete(self) -> None:
@@ -218,7 +218,7 @@
         if status == 200:
             outcome = Outcome.OK
         elif status in (503, 504) and self.not_started:
-            outcome = Outcome.FULL
+            outcome = Outcome.OVERLOADED
         else:
             outcome = Outcome.ERROR
         self.result = Result(
@@ -240,18 +240,18 @@
             self.attempt = None
             outcome = attempt.verdict or (Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
             if self.unsent and attempt.verdict is Outcome.CANCELLED:
-                outcome = Outcome.MOOT
+                outcome = Outcome.NOT_STARTED
             # The descriptor is closed only after this call returns; a further attempt must come later.
             self.pool.owner.loop.call_soon(attempt.fail, outcome)
 
 
-class Pool:
+class EndpointPool:
     """The connections to one backend."""
 
-    def __init__(self, owner: Upstream, name: int, address: Address, started: float) -> None:
+    def __init__(self, owner: UpstreamClient, name: int, address: Address, started: float) -> None:
         self.owner, self.name, self.address, self.started = owner, name, address, started
-        self.idle: deque[Link] = deque()  # the newest last; it is used first
-        self.links: set[Link] = set()
+        self.idle: deque[UpstreamConnection] = deque()  # the newest last; it is used first
+        self.links: set[UpstreamConnection] = set()
         self.waiting: set[Attempt] = set()  # for a connection to come up
         self.connecting = 0
 
@@ -272,7 +272,7 @@
             or not self.owner.make_room()
         ):
             # Nothing was sent.  Not a failed connection: the backend is not to blame.
-            self.owner.loop.call_soon(attempt.fail, Outcome.FULL)
+            self.owner.loop.call_soon(attempt.fail, Outcome.OVERLOADED)
             return
         self.connecting += 1
         self.owner.open += 1
@@ -281,7 +281,7 @@
         self.owner.tasks.add(task)
         task.add_done_callback(self.owner.tasks.discard)
 
-    def rested(self) -> Link:
+    def rested(self) -> UpstreamConnection:
         """The newest idle connection that has rested, else the one that has rested longest."""
         before = time.monotonic() - REST
         at = next((n for n in reversed(range(len(self.idle))) if self.idle[n].idle_since <= before), 0)
@@ -289,7 +289,7 @@
         del self.idle[at]
         return link
 
-    def use(self, link: Link, attempt: Attempt) -> None:
+    def use(self, link: UpstreamConnection, attempt: Attempt) -> None:
         """Carry an attempt that has waited for a connection to rest, unless it was given up or withdrawn."""
         wanted = attempt in self.waiting and not attempt.over
         self.waiting.discard(attempt)
@@ -307,7 +307,7 @@
         try:
             async with asyncio.timeout(self.owner.connect_timeout):
                 _, link = await self.owner.loop.create_connection(
-                    lambda: Link(self), self.address.host, self.address.port
+                    lambda: UpstreamConnection(self), self.address.host, self.address.port
                 )
         except (OSError, TimeoutError):
             self.owner.open -= 1
@@ -334,16 +334,16 @@
         """
         waiting, self.waiting = self.waiting, set()
         for attempt in waiting:
-            self.owner.loop.call_soon(attempt.fail, Outcome.MOOT)
+            self.owner.loop.call_soon(attempt.fail, Outcome.NOT_STARTED)
 
-    def put(self, link: Link) -> None:
+    def put(self, link: UpstreamConnection) -> None:
         if self.owner.pools.get(self.name) is not self:
             link.abort()  # the backend has moved or is gone
             return
         link.idle_since = time.monotonic()
         self.idle.append(link)
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: UpstreamConnection) -> None:
         if link in self.links:
             self.links.remove(link)
             self.owner.open -= 1
@@ -356,7 +356,7 @@
             link.abort()
 
 
-class Upstream:
+class UpstreamClient:
     """All backends that discovery has named."""
 
     def __init__(
@@ -365,7 +365,7 @@
         self.connect_timeout, self.columns, self.most_open = connect_timeout, columns, most_open
         self.keep_idle = IDLE_PART * conn_idle
         self.loop = asyncio.get_running_loop()
-        self.pools: dict[int, Pool] = {}
+        self.pools: dict[int, EndpointPool] = {}
         self.places: dict[Address, int] = {}  # who listens there
         self.tasks: set[asyncio.Task[None]] = set()
         self.open = 0  # connections and attempts to connect
@@ -380,7 +380,7 @@
             self.remove(backend)
             # A new one where another listened: that one is gone, and what is meant for it must not go here.
             self.remove(self.places.get(address, backend))
-            self.pools[backend] = Pool(self, backend, address, started)
+            self.pools[backend] = EndpointPool(self, backend, address, started)
             self.places[address] = backend
 
     def remove(self, backend: int) -> None:
--- a/scaletest/membership.py
+++ b/scaletest/membership.py
@@ -12,8 +12,17 @@
 import numpy as np
 import structlog
 
-from gateway.policy import interface as i
-from gateway.policy.engine import Gateway
+from gateway.policy.actions import StartAttempt
+from gateway.policy.engine import Policy
+from gateway.policy.events import (
+    AttemptFinished,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    Request,
+    UpdateKind,
+)
 from scaletest import hollow_gateway
 from scaletest.result import Point
 from scaletest.scenario import Scenario, Size
@@ -43,13 +52,15 @@
     return float(np.median([spent(act(number)) for number in range(repeats)]))
 
 
-def request(made: Gateway, number: int, now: float) -> None:
+def request(made: Policy, number: int, now: float) -> None:
     """A request that is served at its first attempt."""
-    asked = i.Request(number, 0, 0, number, 1.5, 1.0, 1, 0, False, False)
+    asked = Request(number, 0, 0, number, 1.5, 1.0, 1, 0, False, False)
     for action in made.handle(now, asked):
-        if isinstance(action, i.Send):
+        if isinstance(action, StartAttempt):
             took = hollow_gateway.LATENCY
-            made.handle(now + took, i.Finished(number, 0, action.backend, i.Outcome.OK, True, took, 0, 0, ()))
+            made.handle(
+                now + took, AttemptFinished(number, 0, action.endpoint_id, Outcome.OK, True, took, 0, 0, ())
+            )
 
 
 def measure(size: Size, scenario: Scenario) -> Point:
@@ -58,8 +69,8 @@
     entries = hollow_gateway.servers(size, scenario, random)
     now = hollow_gateway.START
 
-    def listed(made: Gateway) -> None:
-        made.handle(now, i.Members(i.Listing.FULL, 1, entries))
+    def listed(made: Policy) -> None:
+        made.handle(now, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
 
     few = max(3, scenario.repeats // 8)
     first = median(lambda me: partial(listed, hollow_gateway.front_door(size, scenario, me)), few)
@@ -71,10 +82,10 @@
         """A server begins to drain, and is ready again with the next change."""
         if number % 2 == 0:
             drains.append(hollow_gateway.drained(entries, random))
-        told = drains[-1] if number % 2 == 0 else replace(drains[-1], state=i.State.READY)
-        return partial(made.handle, now, i.Members(i.Listing.DELTA, number + 2, (told,)))
+        told = drains[-1] if number % 2 == 0 else replace(drains[-1], state=EndpointState.READY)
+        return partial(made.handle, now, EndpointUpdate(UpdateKind.DELTA, number + 2, (told,)))
 
-    drains: list[i.Entry] = []
+    drains: list[EndpointRecord] = []
     one = median(change, scenario.repeats)
     listed(made)
     pause = 2 * hollow_gateway.LATENCY
@@ -97,14 +108,14 @@
     return point
 
 
-def memory(size: Size, scenario: Scenario, entries: tuple[i.Entry, ...]) -> int:
+def memory(size: Size, scenario: Scenario, entries: tuple[EndpointRecord, ...]) -> int:
     """Bytes that a front door holds for its list, without the entries, which come with the event."""
     gc.collect()
     tracemalloc.start()
     try:
         made = hollow_gateway.front_door(size, scenario)
         before, _ = tracemalloc.get_traced_memory()
-        made.handle(hollow_gateway.START, i.Members(i.Listing.FULL, 1, entries))
+        made.handle(hollow_gateway.START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
         made.actions = []
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 MOST_LINES = 3  # by the users' rule: more would be a habit
 
 
-class KnownRed(ValueError):
+class KnownRedError(ValueError):
     """The file is not as it has to be; the text is one plain line."""
 
 
@@ -22,12 +22,12 @@
         return {}
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
     if len(lines) > MOST_LINES:
-        raise KnownRed(f"{path.name} has {len(lines)} lines; {MOST_LINES} at most")
+        raise KnownRedError(f"{path.name} has {len(lines)} lines; {MOST_LINES} at most")
     found = {}
     for line in lines:
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise KnownRed(f"{path.name}: not of the form TEST | CAUSE | ISSUE: {line}")
+            raise KnownRedError(f"{path.name}: not of the form TEST | CAUSE | ISSUE: {line}")
         found[parts[0]] = line
     return found
 
@@ -36,7 +36,7 @@
     """The tests passed over.  Each line has to name one, or one with parameters and thereby all of these."""
     unknown = [name for name in known if not any(matches(name, test) for test in names)]
     if unknown:
-        raise KnownRed(f"KNOWN-RED.txt names no test: {', '.join(unknown)}")
+        raise KnownRedError(f"KNOWN-RED.txt names no test: {', '.join(unknown)}")
     return {test for test in names if any(matches(name, test) for name in known)}
 
 
@@ -55,7 +55,7 @@
         if config.args_source is pytest.Config.ArgsSource.ARGS:  # part of the tests: others may be named
             known = {name: line for name, line in known.items() if any(matches(name, test) for test in names)}
         over = passed_over(known, names)
-    except KnownRed as error:
+    except KnownRedError as error:
         raise pytest.UsageError(str(error)) from None
     config.stash[LINES] = list(known.values())
     if over:
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -8,14 +8,15 @@
 import pytest
 
 from gateway.config import parse_address
-from gateway.counter.client import DEAD_AFTER, LINES, MOST_PENDING, Counter
-from gateway.policy.interface import Count, Counted, Outcome
+from gateway.counter.client import DEAD_AFTER, LINES, MOST_PENDING, CounterClient
+from gateway.policy.actions import AddToCounter
+from gateway.policy.events import CounterReply, Outcome
 from tests.support.sockets import Tally, listening, run, until
 
 
-def start(dial: str, timeout: float = 0.08) -> tuple[Counter, list[Counted]]:
-    heard: list[Counted] = []
-    return Counter(parse_address(dial), timeout, heard.append), heard
+def start(dial: str, timeout: float = 0.08) -> tuple[CounterClient, list[CounterReply]]:
+    heard: list[CounterReply] = []
+    return CounterClient(parse_address(dial), timeout, heard.append), heard
 
 
 def test_calls_go_out_pipelined_and_their_answers_come_in_order() -> None:
@@ -24,8 +25,8 @@
         async with listening(tally.handle) as dial:
             counter, heard = start(dial)
             for amount in (4.0, -1.5, 0.0):
-                counter.add(Count(9, amount, 4.0))
-            counter.add(Count(10, 1.0, 90.0))
+                counter.add(AddToCounter(9, amount, 4.0))
+            counter.add(AddToCounter(10, 1.0, 90.0))
             await until(lambda: len(heard) == 4)
             assert [c.total for c in heard if c.name == 9] == [4.0, 2.5, 2.5]
             assert all(c.outcome is Outcome.OK for c in heard)
@@ -42,10 +43,10 @@
         tally = Tally(lambda number, call: reply if number == 0 else None)
         async with listening(tally.handle) as dial:
             counter, heard = start(dial)
-            counter.add(Count(9, 1.0, 4.0))
-            counter.add(Count(9, 1.0, 4.0))
+            counter.add(AddToCounter(9, 1.0, 4.0))
+            counter.add(AddToCounter(9, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
-            assert [c.outcome for c in heard] == [Outcome.FULL, Outcome.OK]
+            assert [c.outcome for c in heard] == [Outcome.OVERLOADED, Outcome.OK]
             counter.close()
 
     run(test())
@@ -65,11 +66,11 @@
         tally = Tally(lambda number, call: reply if number == 0 else None)
         async with listening(tally.handle) as dial:
             counter, heard = start(dial, timeout=5.0)
-            counter.add(Count(9, 1.0, 4.0))
-            counter.add(Count(9, 1.0, 4.0))
+            counter.add(AddToCounter(9, 1.0, 4.0))
+            counter.add(AddToCounter(9, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert [c.outcome for c in heard] == [Outcome.TIMEOUT, Outcome.TIMEOUT]
-            counter.add(Count(9, 1.0, 4.0))
+            counter.add(AddToCounter(9, 1.0, 4.0))
             await until(lambda: len(heard) == 3)
             assert (heard[2].outcome, heard[2].total) == (Outcome.OK, 3.0)
             counter.close()
@@ -91,11 +92,11 @@
         async with listening(slow) as dial, listening(new.handle) as elsewhere:
             counter, heard = start(dial, timeout=5.0)
             await counter.ready
-            counter.add(Count(8, 5.0, 4.0))
+            counter.add(AddToCounter(8, 5.0, 4.0))
             counter.move(parse_address(elsewhere))
-            counter.add(Count(8, 6.0, 4.0))  # the old line still serves until the new one is up
+            counter.add(AddToCounter(8, 6.0, 4.0))  # the old line still serves until the new one is up
             await until(lambda: all(line.transport for line in counter.lines) and not counter.coming)
-            counter.add(Count(8, 7.0, 4.0))
+            counter.add(AddToCounter(8, 7.0, 4.0))
             await asyncio.sleep(0)
             assert not heard and not new.calls
             gate.set()
@@ -117,7 +118,7 @@
             await until(lambda: all(line.transport for line in counter.lines))
             counter.move(parse_address("127.0.0.1:1"))
             counter.move(parse_address("127.0.0.1:2"))
-            counter.add(Count(9, 1.0, 4.0))
+            counter.add(AddToCounter(9, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.OK
             counter.close()
@@ -140,11 +141,11 @@
 
         async with listening(slow) as dial:
             counter, heard = start(dial, timeout=0.05)
-            counter.add(Count(8, 1.0, 4.0))
+            counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
-            assert heard[0].outcome is Outcome.TIMEOUT and heard[0].spent >= 0.05
+            assert heard[0].outcome is Outcome.TIMEOUT and heard[0].elapsed >= 0.05
             counter.timeout = 5.0
-            counter.add(Count(8, 2.0, 4.0))
+            counter.add(AddToCounter(8, 2.0, 4.0))
             go.set()
             await until(lambda: len(heard) == 2)
             assert (heard[1].outcome, heard[1].total) == (Outcome.OK, 3.0)
@@ -167,11 +168,11 @@
 
         async with listening(first_ends) as dial:
             counter, heard = start(dial, timeout=5.0)
-            counter.add(Count(8, 1.0, 4.0))
+            counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.TIMEOUT
             await until(lambda: counter.lines[0].transport is not None)
-            counter.add(Count(8, 1.0, 4.0))
+            counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert heard[1].outcome is Outcome.OK and len(tally.calls) == 1
             counter.close()
@@ -184,9 +185,9 @@
         async with listening(Tally().handle) as dial:
             pass
         counter, heard = start(dial)
-        counter.add(Count(8, 1.0, 4.0))  # held while the connection is tried
+        counter.add(AddToCounter(8, 1.0, 4.0))  # held while the connection is tried
         await until(lambda: heard)
-        counter.add(Count(8, 1.0, 4.0))  # not held while it is known to be down
+        counter.add(AddToCounter(8, 1.0, 4.0))  # not held while it is known to be down
         await until(lambda: len(heard) == 2)
         assert [c.outcome for c in heard] == [Outcome.CONNECT_FAILED] * 2
         counter.close()
@@ -199,11 +200,11 @@
         tally = Tally(lambda number, call: b"?!\r\n" if number == 0 else None)
         async with listening(tally.handle) as dial:
             counter, heard = start(dial, timeout=5.0)
-            counter.add(Count(8, 1.0, 4.0))
+            counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.TIMEOUT
             await until(lambda: counter.lines[0].transport is not None)
-            counter.add(Count(8, 1.0, 4.0))
+            counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert heard[1].outcome is Outcome.OK
             counter.close()
@@ -222,7 +223,7 @@
         async with listening(silent) as dial:
             counter, heard = start(dial, timeout=0.02)
             await until(lambda: len(opened) == LINES)
-            counter.add(Count(8, 1.0, 4.0))
+            counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
             line = counter.lines[0]
             line.look(time.monotonic() + DEAD_AFTER / 2)
@@ -259,8 +260,8 @@
         async with listening(silent) as dial:
             counter, heard = start(dial, timeout=10.0)
             for _ in range(MOST_PENDING + 1):
-                counter.add(Count(8, 1.0, 4.0))
-            assert [c.outcome for c in heard] == [Outcome.FULL]
+                counter.add(AddToCounter(8, 1.0, 4.0))
+            assert [c.outcome for c in heard] == [Outcome.OVERLOADED]
             counter.close()
 
     run(test())
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -13,11 +13,11 @@
 
 from gateway.config import Address, parse_address
 from gateway.discovery import client as discovery
-from gateway.discovery.client import Discovery, Names, backend_id
-from gateway.policy.interface import Listing, Members, State
+from gateway.discovery.client import DiscoveryClient, EndpointDecoder, backend_id
+from gateway.policy.events import EndpointState, EndpointUpdate, UpdateKind
 from tests.support.sockets import Agent, host_line, http_answer, listening, run, until
 
-Heard = list[tuple[Members, dict[int, Address]]]
+EndpointListener = list[tuple[EndpointUpdate, dict[int, Address]]]
 
 
 def change(seq: int, *hosts: Any, whole: bool = False) -> bytes:
@@ -39,10 +39,10 @@
             await super().handle(reader, writer)
 
 
-def start(dial: str) -> tuple[Discovery, Heard]:
-    heard: Heard = []
-    names = Names(("a", "b"), ("m1", "m2"))
-    return Discovery(parse_address(dial), names, lambda *told: heard.append(told)), heard
+def start(dial: str) -> tuple[DiscoveryClient, EndpointListener]:
+    heard: EndpointListener = []
+    names = EndpointDecoder(("a", "b"), ("m1", "m2"))
+    return DiscoveryClient(parse_address(dial), names, lambda *told: heard.append(told)), heard
 
 
 def test_names_map_to_the_same_ids_everywhere() -> None:
@@ -60,12 +60,12 @@
             await until(lambda: len(heard) == 3)
             assert agent.targets == ["/api/targets", "/api/targets?watch=1&from=41"]
             del heard[0]
-            assert [m.listing for m, _ in heard] == [Listing.FULL, Listing.DELTA]
-            (entry,) = heard[0][0].entries
-            assert (entry.backend, entry.zone, entry.kind, entry.cell) == (7, 1, 1, 3)
-            assert (entry.started, entry.state) == (1764300000.25, State.READY)
+            assert [m.kind for m, _ in heard] == [UpdateKind.SNAPSHOT, UpdateKind.DELTA]
+            (entry,) = heard[0][0].records
+            assert (entry.endpoint_id, entry.zone, entry.machine_type, entry.cell) == (7, 1, 1, 3)
+            assert (entry.started_at, entry.state) == (1764300000.25, EndpointState.READY)
             assert heard[0][1] == {7: Address("127.0.0.1", 81)}
-            assert heard[1][0].entries[0].state is State.GONE
+            assert heard[1][0].records[0].state is EndpointState.GONE
             watch.close()
 
     run(test())
@@ -87,13 +87,13 @@
         async with listening(agent.handle) as dial:
             watch, heard = start(dial)
             await until(lambda: heard and heard[-1][0].version == 43)
-            assert [e.backend for m, _ in heard for e in m.entries] == [7]
+            assert [e.endpoint_id for m, _ in heard for e in m.records] == [7]
             assert [m.version for m, _ in heard] in ([41, 43], [41, 42, 43])
             agent.lines.clear()
             agent.whole = change(44, host_line("s-00000008", "127.0.0.1:82"), whole=True)
             if b"host" not in bad:  # what makes no sense of one host only is no reason to read all again
                 await until(lambda: heard[-1][0].version == 44 and agent.open == 1)
-                assert [e.backend for e in heard[-1][0].entries] == [8]
+                assert [e.endpoint_id for e in heard[-1][0].records] == [8]
             watch.close()
 
     run(test())
@@ -125,7 +125,7 @@
             watch, heard = start(dial)
             await until(lambda: len(heard) == 3)
             assert [m.version for m, _ in heard] == [41, 42, 43]
-            assert all(len(m.entries) == 2 for m, _ in heard)
+            assert all(len(m.records) == 2 for m, _ in heard)
             watch.close()
 
     run(test())
@@ -277,7 +277,7 @@
 
 
 def test_a_whole_list_that_cannot_be_read_does_not_empty_the_fleet() -> None:
-    names = Names(("a",), ("m2",))
+    names = EndpointDecoder(("a",), ("m2",))
     names.members({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
     with pytest.raises(ValueError, match="no entry"):
         names.members({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
@@ -286,7 +286,7 @@
 
 # Guards against growth: backends are replaced all day by ones of ever new names.
 def test_names_of_backends_that_are_gone_are_let_go() -> None:
-    names = Names(("a",), ("m2",))
+    names = EndpointDecoder(("a",), ("m2",))
     for number in range(50):
         line = host_line(f"s-{number:08x}", "127.0.0.1:81")
         names.members({"seq": 2 * number, "whole": False, "hosts": [line]})
@@ -333,8 +333,8 @@
 def test_two_names_with_one_id_are_not_taken_for_one_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "backend_id", lambda name: 7)
     hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
-    members, addresses = Names(("a",), ("m2",)).members({"seq": 1, "whole": True, "hosts": hosts})
-    assert len(members.entries) == 1 and addresses == {7: Address("127.0.0.1", 81)}
+    members, addresses = EndpointDecoder(("a",), ("m2",)).members({"seq": 1, "whole": True, "hosts": hosts})
+    assert len(members.records) == 1 and addresses == {7: Address("127.0.0.1", 81)}
 
 
 TOLD_IN = 6.0  # seconds, by the operators' terms
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -10,7 +10,8 @@
 
 from gateway.frontend import listener
 from gateway.frontend.listener import FLOOD
-from gateway.policy import interface as i
+from gateway.policy.actions import Action, Reject
+from gateway.policy.events import Request
 from tests.support.sockets import (
     Backend,
     Client,
@@ -93,11 +94,11 @@
 # Guards against two requests of one id at the backends, and against an answer for the wrong client.
 def test_an_id_that_is_open_is_refused() -> None:
     async def test() -> None:
-        held: list[i.Request] = []
+        held: list[Request] = []
 
-        def react(event: Any) -> list[i.Action]:
-            held.extend([event] if isinstance(event, i.Request) else [])
-            return [i.Refuse(held[0].request, 0.5)] if len(held) == 2 else []
+        def react(event: Any) -> list[Action]:
+            held.extend([event] if isinstance(event, Request) else [])
+            return [Reject(held[0].request_id, 0.5)] if len(held) == 2 else []
 
         async with (
             front_door("127.0.0.1:1", react=react) as (door, _),
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -9,8 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateway.policy import interface as i
-from gateway.policy.engine import RATE_SPAN, Backend, Gateway, mix
+from gateway.policy.actions import StartAttempt
+from gateway.policy.engine import RATE_SPAN, Endpoint, Policy, mix
+from gateway.policy.events import EndpointState, EndpointUpdate, Event, Outcome, UpdateKind
 from gateway.policy.subsetting import arc
 from gateway.settings_parser import parse_settings
 from tests.support.policy import START, done, entry, request, sends, text
@@ -18,25 +19,25 @@
 SETTINGS = {"peers_total": "40", "tariffs__0__quota_rate": "0"}
 
 
-class Rebuilding(Gateway):
+class Rebuilding(Policy):
     """The reference: each change walks, sorts and chooses among all backends."""
 
-    def on_members(self, event: i.Members) -> None:
-        if event.listing in (i.Listing.CACHED, i.Listing.FULL):
+    def on_members(self, event: EndpointUpdate) -> None:
+        if event.kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT):
             for known in self.backends.values():
-                known.state = i.State.GONE
-        for told in event.entries:
-            found = self.backends.get(told.backend)
+                known.state = EndpointState.GONE
+        for told in event.records:
+            found = self.backends.get(told.endpoint_id)
             if found is None:
-                found = Backend(told, answered=self.now, ring=mix(told.backend))
-                self.backends[told.backend] = found
-            if told.started > found.entry.started or not found.cold_at:
+                found = Endpoint(told, answered=self.now, ring=mix(told.endpoint_id))
+                self.backends[told.endpoint_id] = found
+            if told.started_at > found.entry.started_at or not found.cold_at:
                 found.latency, found.answered = self.latency, self.now
                 found.cold_level, found.cold_at = self.random.random(), self.now
             found.entry, found.state = told, told.state
-        for gone in [b for b in self.backends.values() if b.state is i.State.GONE and not b.out]:
-            del self.backends[gone.entry.backend]
-        ready = (b for b in self.backends.values() if b.state is i.State.READY)
+        for gone in [b for b in self.backends.values() if b.state is EndpointState.GONE and not b.out]:
+            del self.backends[gone.entry.endpoint_id]
+        ready = (b for b in self.backends.values() if b.state is EndpointState.READY)
         self.live = sorted(ready, key=lambda b: b.ring)
         self.choose_near()
         self.out = sum(len(b.out) for b in self.live)
@@ -44,23 +45,25 @@
 
     def choose_near(self) -> None:
         warm = [self.warmth(b) >= 1 for b in self.live]
-        taken = arc(len(warm), warm.__getitem__, self.settings.me, self.peers)
+        taken = arc(len(warm), warm.__getitem__, self.settings.gateway_index, self.peers)
         self.near = [self.live[n] for n in sorted(taken)]
         self.near_until = math.inf if all(warm) else self.now + RATE_SPAN / 4
 
 
-def seen(made: Gateway) -> tuple[object, ...]:
+def seen(made: Policy) -> tuple[object, ...]:
     """What the choice of a backend rests on."""
     states = {number: (b.state, len(b.out), b.cold_level) for number, b in made.backends.items()}
     return [b.entry for b in made.live], [b.entry for b in made.near], made.out, states
 
 
-ENTRIES = st.lists(st.tuples(st.integers(1, 50), st.sampled_from(i.State), st.integers(0, 2)), max_size=12)
+ENTRIES = st.lists(
+    st.tuples(st.integers(1, 50), st.sampled_from(EndpointState), st.integers(0, 2)), max_size=12
+)
 STEPS = st.one_of(
     st.tuples(st.just("change"), ENTRIES),
     st.tuples(st.just("list"), ENTRIES),
     st.tuples(st.just("request"), st.integers(0, 1)),
-    st.tuples(st.just("answer"), st.sampled_from([i.Outcome.OK, i.Outcome.FULL, i.Outcome.RESET])),
+    st.tuples(st.just("answer"), st.sampled_from([Outcome.OK, Outcome.OVERLOADED, Outcome.RESET])),
 )
 
 
@@ -70,20 +73,22 @@
 @settings(max_examples=150, deadline=None)
 def test_a_patched_list_is_the_one_made_anew(steps: list[tuple[str, object]], me: int, seed: int) -> None:
     told = parse_settings(text(me=str(me), **SETTINGS))
-    both = (Gateway(told, seed), Rebuilding(told, seed))
-    first = i.Members(i.Listing.CACHED, 1, tuple(entry(n, cell=n % 3) for n in range(1, 41)))
+    both = (Policy(told, seed), Rebuilding(told, seed))
+    first = EndpointUpdate(UpdateKind.CACHED, 1, tuple(entry(n, cell=n % 3) for n in range(1, 41)))
     now, rid = START, 0
-    out: list[tuple[i.Send, int]] = []
+    out: list[tuple[StartAttempt, int]] = []
     for version, (kind, what) in enumerate([("list", None), *steps], 1):
         now += 0.4
-        event: i.Event = first
+        event: Event = first
         if kind in ("change", "list") and what is not None:
             assert isinstance(what, list)
             listed = tuple(
                 entry(n, cell=n % 3, state=state, started=now - 9 * age if age else 0.0)
                 for n, state, age in what
             )
-            event = i.Members(i.Listing.FULL if kind == "list" else i.Listing.DELTA, version, listed)
+            event = EndpointUpdate(
+                UpdateKind.SNAPSHOT if kind == "list" else UpdateKind.DELTA, version, listed
+            )
         elif kind == "request":
             assert isinstance(what, int)
             rid += 1
@@ -91,27 +96,27 @@
         elif kind == "answer":
             if not out:
                 continue
-            assert isinstance(what, i.Outcome)
+            assert isinstance(what, Outcome)
             sent, attempt = out.pop(0)
-            event = done(sent.request, sent, what, attempt, closed=what is i.Outcome.OK)
+            event = done(sent.request_id, sent, what, attempt, closed=what is Outcome.OK)
         actions, reference = (made.handle(now, event) for made in both)
         assert actions == reference
         assert seen(both[0]) == seen(both[1])
         for send in sends(actions):
-            out.append((send, both[0].jobs[send.request].attempts - 1))
+            out.append((send, both[0].jobs[send.request_id].attempts - 1))
 
 
 # Guards the size to design for: a change costs what it changes.  As a ratio, for machines differ.
-@pytest.mark.parametrize("state", [i.State.DRAINING, i.State.GONE])
-def test_a_change_costs_no_more_in_a_long_list(state: i.State) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_a_change_costs_no_more_in_a_long_list(state: EndpointState) -> None:
     def cost(count: int) -> float:
         listed = [entry(n, cell=n % 490) for n in range(1, count + 1)]
-        made = Gateway(parse_settings(text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1)
-        made.handle(START, i.Members(i.Listing.FULL, 1, tuple(listed)))
+        made = Policy(parse_settings(text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1)
+        made.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, tuple(listed)))
         took = []
         for n in range(1, 61):
             for told in (entry(n, cell=n % 490, state=state), listed[n - 1]):
-                event = i.Members(i.Listing.DELTA, 1 + n, (told,))
+                event = EndpointUpdate(UpdateKind.DELTA, 1 + n, (told,))
                 began = time.process_time()
                 made.handle(START, event)
                 took.append(time.process_time() - began)
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -12,18 +12,32 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateway.policy import interface as i
-from gateway.policy.engine import FIRST_LATENCY, FORGET, PATIENCE, TICK, Gateway, Lease, mix
+from gateway.policy.actions import Action, AddToCounter, Cancel, Fail, Probe, Reject, SetTimer, StartAttempt
+from gateway.policy.engine import FIRST_LATENCY, FORGET, PATIENCE, TICK, Lease, Policy, mix
+from gateway.policy.events import (
+    AttemptFinished,
+    AttemptStarted,
+    ClientDisconnected,
+    CounterReply,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    PeerMessage,
+    ProbeFinished,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
 from tests.support.policy import START, Counter, done, entry, gateway, play, request, sends
 
 Step = tuple[float, int]
 
 
-def serve_all(made: Gateway, counter: Counter, now: float, rid: int, **kind: int) -> bool:
+def serve_all(made: Policy, counter: Counter, now: float, rid: int, **kind: int) -> bool:
     """One request, answered at once if it was sent; tells whether it was."""
     sent = sends(play(made, counter, now, request(rid, **kind)))
     for send in sent:
-        play(made, counter, now, done(rid, send, i.Outcome.OK, closed=True))
+        play(made, counter, now, done(rid, send, Outcome.OK, closed=True))
     return bool(sent)
 
 
@@ -32,12 +46,12 @@
 
     by_others = 0.0
 
-    def answer(self, call: i.Count) -> i.Counted:
+    def answer(self, call: AddToCounter) -> CounterReply:
         self.totals.setdefault(call.name, self.by_others)
         return super().answer(call)
 
 
-def only_lease(made: Gateway) -> Lease:
+def only_lease(made: Policy) -> Lease:
     (lease,) = made.leases.values()
     return lease
 
@@ -95,18 +109,18 @@
 
 def test_shortfalls_await_the_lease_in_flight() -> None:
     made = gateway()
-    (met,) = (a for a in made.handle(START, request(0)) if isinstance(a, i.Count))
-    found = play(made, Counter(), START, i.Counted(met.name, i.Outcome.OK, met.amount, 0.001))
-    assert met.amount == round(8.0 / 3) and {s.request for s in sends(found)} == {0}
+    (met,) = (a for a in made.handle(START, request(0)) if isinstance(a, AddToCounter))
+    found = play(made, Counter(), START, CounterReply(met.name, Outcome.OK, met.amount, 0.001))
+    assert met.amount == round(8.0 / 3) and {s.request_id for s in sends(found)} == {0}
     lease = only_lease(made)
     lease.credits = 0.0
     first = made.handle(START, request(1))
     second = made.handle(START, request(2))
-    assert len([a for a in first if isinstance(a, i.Count)]) == 1
-    assert not [a for a in second if isinstance(a, i.Count | i.Send)]
-    (call,) = (a for a in first if isinstance(a, i.Count))
-    answered = play(made, Counter(), START, i.Counted(call.name, i.Outcome.OK, call.amount, 0.001))
-    assert {s.request for s in sends(answered)} == {1, 2}
+    assert len([a for a in first if isinstance(a, AddToCounter)]) == 1
+    assert not [a for a in second if isinstance(a, AddToCounter | StartAttempt)]
+    (call,) = (a for a in first if isinstance(a, AddToCounter))
+    answered = play(made, Counter(), START, CounterReply(call.name, Outcome.OK, call.amount, 0.001))
+    assert {s.request_id for s in sends(answered)} == {1, 2}
 
 
 def test_first_lease_is_the_share_of_the_window() -> None:
@@ -122,7 +136,7 @@
     calls = counter.calls
     found = play(made, counter, START + 0.001, request(99))
     assert counter.calls == calls
-    (refusal,) = (a for a in found if isinstance(a, i.Refuse))
+    (refusal,) = (a for a in found if isinstance(a, Reject))
     assert 0 < refusal.retry_after <= 1.0
 
 
@@ -133,7 +147,7 @@
     counter, made = Counter(), gateway()
     admitted = sum(serve_all(made, counter, START, rid) for rid in range(30))
     assert admitted == 8 and made.level(only_lease(made)) == pytest.approx(-1.0)
-    refused = [a for a in play(made, counter, START + 0.1, request(40)) if isinstance(a, i.Refuse)]
+    refused = [a for a in play(made, counter, START + 0.1, request(40)) if isinstance(a, Reject)]
     assert [round(a.retry_after, 3) for a in refused] == [0.15]  # 4 units a second
     assert not serve_all(made, counter, START + 0.24, 41)
     calls = counter.calls
@@ -156,7 +170,7 @@
         now += rnd.expovariate(16.0)
         admitted += serve_all(rnd.choice(gateways), counter, now, rid)
         for made in gateways if rid % 4 == 0 else ():  # idle credit goes back
-            play(made, counter, now, i.Fired(1))
+            play(made, counter, now, TimerFired(1))
     quota = 4 * (now - START) + 8
     assert (0.9 if width == 100 else 0.95) * quota <= admitted <= 1.1 * quota
 
@@ -183,9 +197,9 @@
     counter = Counter()
     pair = [gateway(me=str(n)) for n in range(2)]
     calls = [(made, made.handle(START, request(n))) for n, made in enumerate(pair)]
-    while any(isinstance(a, i.Count) for _, found in calls for a in found):
+    while any(isinstance(a, AddToCounter) for _, found in calls for a in found):
         # Each round both gateways' calls reach the counter before either hears of the other's.
-        answers = [(m, counter.answer(a)) for m, found in calls for a in found if isinstance(a, i.Count)]
+        answers = [(m, counter.answer(a)) for m, found in calls for a in found if isinstance(a, AddToCounter)]
         calls = [(made, made.handle(START, answer)) for made, answer in answers]
     assert [only_lease(made).credits for made in pair] == [2.0, 2.0]
     assert min(made.level(only_lease(made)) for made in pair) == pytest.approx(8.0 - 2 * 3.0)
@@ -215,23 +229,23 @@
     timers, now = 0, START
     for _ in range(200):
         now += 0.1
-        timers += len([a for a in made.handle(now, i.Fired(1)) if isinstance(a, i.SetTimer)])
-    assert timers <= 40 and not made.handle(now + 1, i.Left(1))
+        timers += len([a for a in made.handle(now, TimerFired(1)) if isinstance(a, SetTimer)])
+    assert timers <= 40 and not made.handle(now + 1, ClientDisconnected(1))
 
 
 def test_a_timer_rounded_down_by_the_host_is_set_again() -> None:
     made = gateway()
-    (timer,) = (a for a in made.handle(START, request(1)) if isinstance(a, i.SetTimer))
-    assert [a for a in made.handle(timer.at - 1e-7, i.Fired(1)) if isinstance(a, i.SetTimer)]
+    (timer,) = (a for a in made.handle(START, request(1)) if isinstance(a, SetTimer))
+    assert [a for a in made.handle(timer.at - 1e-7, TimerFired(1)) if isinstance(a, SetTimer)]
 
 
 def test_a_backend_without_a_report_counts_as_busier_than_the_mean() -> None:
     made = gateway(caps__may_probe="true", report__how="pull", report__columns="queue,util,inflight")
-    (probe,) = (a for a in made.handle(START, request(1)) if isinstance(a, i.Probe))
+    (probe,) = (a for a in made.handle(START, request(1)) if isinstance(a, Probe))
     for backend in made.backends:
-        made.handle(START, i.Probed(backend, i.Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
-    made.handle(START, i.Probed(probe.backend, i.Outcome.OK, 0.01, ()))
-    silent = made.burden(made.backends[probe.backend])
+        made.handle(START, ProbeFinished(backend, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
+    made.handle(START, ProbeFinished(probe.endpoint_id, Outcome.OK, 0.01, ()))
+    silent = made.burden(made.backends[probe.endpoint_id])
     assert all(silent > made.burden(b) - 0.5 for b in made.live) and silent > 1 + made.load
 
 
@@ -239,14 +253,14 @@
 def test_probes_are_sent_only_for_reports_that_tell_of_load(columns: str, asks: bool) -> None:
     made = gateway(caps__may_probe="true", report__how="pull", report__columns=columns)
     found = [a for rid in range(20) for a in play(made, Counter(), START + rid, request(rid, customer=rid))]
-    assert any(isinstance(a, i.Probe) for a in found) == asks
+    assert any(isinstance(a, Probe) for a in found) == asks
 
 
 def test_reported_load_sheds_by_chance_before_latencies_tell() -> None:
     made = gateway(caps__may_probe="true", report__how="pull", report__columns="inflight")
     assert all(made.has_room() for _ in range(50))
     for _ in range(30):
-        made.handle(START, i.Probed(1, i.Outcome.OK, 0.01, (40.0,)))
+        made.handle(START, ProbeFinished(1, Outcome.OK, 0.01, (40.0,)))
     assert not any(made.has_room() for _ in range(50))
 
 
@@ -258,8 +272,8 @@
     play(made, counter, START, request(1, plan=1))
     calls, (lease,) = counter.calls, made.leases.values()
     later, made.room = START + lease.length + 0.01, 4.0
-    found = play(made, counter, later, i.Members(i.Listing.FULL, 2, (entry(1),)))
-    assert counter.calls == calls + 2 and not [a for a in found if isinstance(a, i.Fail)]
+    found = play(made, counter, later, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (entry(1),)))
+    assert counter.calls == calls + 2 and not [a for a in found if isinstance(a, Fail)]
 
 
 @pytest.mark.parametrize("start", [0.1, 2.0])
@@ -293,7 +307,7 @@
     counter, made = Counter(), gateway()
     sent = [sends(play(made, counter, START, request(rid, plan=2))) for rid in range(3)]
     assert [len(s) for s in sent] == [1, 1, 0]
-    play(made, counter, START + 0.1, done(0, sent[0][0], i.Outcome.OK, closed=True))
+    play(made, counter, START + 0.1, done(0, sent[0][0], Outcome.OK, closed=True))
     assert sum(counter.totals.values()) == pytest.approx(1.0)
     assert sends(play(made, counter, START + 1.0, request(9, plan=2)))
 
@@ -333,23 +347,23 @@
     made.pace.left_at = START
     made.pace.pace = 1.0
     assert not play(made, counter, START, request(1))[0:0] and not counter.calls
-    assert not sends(play(made, counter, START, i.Fired(1)))
+    assert not sends(play(made, counter, START, TimerFired(1)))
     made.pace.left = 5.0
-    assert sends(play(made, counter, START + TICK, i.Fired(1))) and counter.calls
+    assert sends(play(made, counter, START + TICK, TimerFired(1))) and counter.calls
     made.pace.left, made.pace.left_at, made.pace.pace = 0.0, START + TICK, 0.1
     later = [*play(made, counter, START + TICK, request(2, customer=6))]
-    patience = PATIENCE * made.settings.classes[0].aim
-    later += play(made, counter, START + 2 * TICK + patience, i.Fired(1))
-    assert [a.request for a in later if isinstance(a, i.Send | i.Refuse)] == [2]
+    patience = PATIENCE * made.settings.classes[0].latency_objective
+    later += play(made, counter, START + 2 * TICK + patience, TimerFired(1))
+    assert [a.request_id for a in later if isinstance(a, StartAttempt | Reject)] == [2]
 
 
 def test_a_call_that_was_turned_away_is_made_again() -> None:
     counter, made = Counter(), gateway()
-    counter.outcome = i.Outcome.FULL
-    assert not [a for a in play(made, counter, START, request(1)) if isinstance(a, i.Send | i.Refuse)]
-    counter.outcome = i.Outcome.OK
+    counter.outcome = Outcome.OVERLOADED
+    assert not [a for a in play(made, counter, START, request(1)) if isinstance(a, StartAttempt | Reject)]
+    counter.outcome = Outcome.OK
     timeout = made.settings.counter_timeout
-    assert sends(play(made, counter, START + 2 * timeout, i.Fired(1)))
+    assert sends(play(made, counter, START + 2 * timeout, TimerFired(1)))
 
 
 # --- trouble at the counter ---
@@ -357,7 +371,7 @@
 
 def test_a_silent_counter_leaves_the_local_share() -> None:
     counter, made = Counter(), gateway()
-    counter.outcome = i.Outcome.TIMEOUT
+    counter.outcome = Outcome.TIMEOUT
     admitted = sum(serve_all(made, counter, START + n / 10, n) for n in range(300))
     assert 60 * 0.8 <= admitted <= 60 * 1.2  # 30 s of half the rate: width 3, over_cost 1
 
@@ -368,14 +382,14 @@
     counter = Counter()
     pair = [gateway(me=str(n)) for n in range(2)]
 
-    def ask(made: Gateway, now: float, rid: int) -> bool:
+    def ask(made: Policy, now: float, rid: int) -> bool:
         found = made.handle(now, request(rid))
         for action in found:
-            if isinstance(action, i.Count):
+            if isinstance(action, AddToCounter):
                 counter.late = counter.calls + 1 in late
                 found += made.handle(now, counter.answer(action))
-            elif isinstance(action, i.Send):
-                found += made.handle(now, done(rid, action, i.Outcome.OK, closed=True))
+            elif isinstance(action, StartAttempt):
+                found += made.handle(now, done(rid, action, Outcome.OK, closed=True))
         return bool(sends(found))
 
     # In mid-window, when 40 units and more have flowed over: 4 s of twice the quota.
@@ -412,7 +426,7 @@
     for rid, (gap, who) in enumerate(steps):
         if rid == lost:
             counter.lose()
-        counter.outcome = i.Outcome.TIMEOUT if lost / 2 <= rid < lost else i.Outcome.OK
+        counter.outcome = Outcome.TIMEOUT if lost / 2 <= rid < lost else Outcome.OK
         now += gap
         if serve_all(gateways[who], counter, now, rid, plan=1):
             store, at = min(16.0, store + 8.0 * (now - at)) - 1.0, now
@@ -422,7 +436,7 @@
 # --- the rules ---
 
 
-def hold(made: Gateway, rid: int, **kind: int) -> i.Send:
+def hold(made: Policy, rid: int, **kind: int) -> StartAttempt:
     (sent,) = sends(play(made, Counter(), START, request(rid, customer=rid, **kind)))
     return sent
 
@@ -430,48 +444,48 @@
 def test_every_held_request_ends_in_time() -> None:
     made = gateway()
     made.handle(START, request(1, left=0.3))  # its lease is never answered
-    ended: list[i.Action] = []
+    ended: list[Action] = []
     for n in range(1, 13):
-        ended += made.handle(START + n * TICK, i.Fired(1))
-    assert [a for a in ended if isinstance(a, i.Refuse)] == [i.Refuse(1, FIRST_LATENCY)]
+        ended += made.handle(START + n * TICK, TimerFired(1))
+    assert [a for a in ended if isinstance(a, Reject)] == [Reject(1, FIRST_LATENCY)]
 
 
 def test_the_time_out_at_the_deadline_is_answered_as_failed() -> None:
     made = gateway()
     sent = hold(made, 1, cls=2)
-    assert i.Fail(1) in made.handle(START + 4.0, done(1, sent, i.Outcome.TIMEOUT))
+    assert Fail(1) in made.handle(START + 4.0, done(1, sent, Outcome.TIMEOUT))
 
 
 def test_no_further_attempt_is_sent_when_a_host_times_one_out_a_little_early() -> None:
     made = gateway(caps__second_copies="false")
     sent = hold(made, 1)
-    found = made.handle(START + 4.0 - 0.031, done(1, sent, i.Outcome.TIMEOUT))
-    assert not sends(found) and [a for a in found if isinstance(a, i.Refuse)]
+    found = made.handle(START + 4.0 - 0.031, done(1, sent, Outcome.TIMEOUT))
+    assert not sends(found) and [a for a in found if isinstance(a, Reject)]
 
 
-@pytest.mark.parametrize("outcome", [i.Outcome.ERROR, i.Outcome.RESET, i.Outcome.TIMEOUT])
-def test_unsafe_requests_that_may_have_run_fail(outcome: i.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT])
+def test_unsafe_requests_that_may_have_run_fail(outcome: Outcome) -> None:
     made = gateway()
     sent = hold(made, 1, cls=2)
     found = made.handle(START + 0.2, done(1, sent, outcome))
-    assert i.Fail(1) in found and not sends(found)
+    assert Fail(1) in found and not sends(found)
 
 
-@pytest.mark.parametrize("outcome", [i.Outcome.FULL, i.Outcome.CONNECT_FAILED])
-def test_unsafe_requests_that_never_ran_are_sent_elsewhere(outcome: i.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
+def test_unsafe_requests_that_never_ran_are_sent_elsewhere(outcome: Outcome) -> None:
     made = gateway()
     sent = hold(made, 1, cls=2)
     (again,) = sends(made.handle(START + 0.2, done(1, sent, outcome)))
-    assert again.backend != sent.backend
+    assert again.endpoint_id != sent.endpoint_id
 
 
 def test_keyed_requests_stay_in_their_cell_and_in_its_memory() -> None:
     made = gateway()
     sent = hold(made, 1, cls=1)
-    (again,) = sends(made.handle(START + 0.2, done(1, sent, i.Outcome.ERROR)))
-    assert again.backend % 2 == sent.backend % 2 and again.backend != sent.backend
-    found = made.handle(START + 2.1, done(1, again, i.Outcome.ERROR, attempt=1))
-    assert i.Fail(1) in found and not sends(found)
+    (again,) = sends(made.handle(START + 0.2, done(1, sent, Outcome.ERROR)))
+    assert again.endpoint_id % 2 == sent.endpoint_id % 2 and again.endpoint_id != sent.endpoint_id
+    found = made.handle(START + 2.1, done(1, again, Outcome.ERROR, attempt=1))
+    assert Fail(1) in found and not sends(found)
 
 
 # Guards against a repeat that waits for its connection until the backends have forgotten its key.
@@ -479,7 +493,7 @@
     for after, again in ((1.6, True), (1.8, False)):
         made, counter = gateway(), Counter()
         (send,) = sends(play(made, counter, START, request(1, cls=1)))
-        found = play(made, counter, START + after, done(1, send, i.Outcome.ERROR))
+        found = play(made, counter, START + after, done(1, send, Outcome.ERROR))
         assert bool(sends(found)) == again  # 2 s of memory, 0.25 s to connect
 
 
@@ -496,16 +510,16 @@
         found = play(made, counter, START + 0.1, request(2))
     else:
         found = made.handle(START + 0.1, request(2))
-    calls = [a for a in found if isinstance(a, i.Count)] if waits_for == "lease" else []
+    calls = [a for a in found if isinstance(a, AddToCounter)] if waits_for == "lease" else []
     assert not sends(found) and 2 in made.jobs and bool(calls) == (waits_for == "lease")
-    made.handle(START + 0.15, i.Left(2))
+    made.handle(START + 0.15, ClientDisconnected(2))
     assert 2 not in made.jobs and not made.leases[5, False].waiters
     made.pace.left, made.room = 100.0, 10.0
     found = [action for call in calls for action in made.handle(START + 0.2, counter.answer(call))]
-    found += play(made, counter, START + 0.2, done(1, first, i.Outcome.OK))
+    found += play(made, counter, START + 0.2, done(1, first, Outcome.OK))
     asked = counter.calls
     for step in range(8):
-        found += play(made, counter, START + 0.2 + step * TICK, i.Fired(1))
+        found += play(made, counter, START + 0.2 + step * TICK, TimerFired(1))
     assert not sends(found) and counter.calls == asked
 
 
@@ -520,19 +534,19 @@
     out = [first]
     if state == "between":
         made.room = 1e-9
-        assert not sends(play(made, counter, START + 0.01, done(1, out.pop(), i.Outcome.FULL)))
-        assert [job.req.request for job in made.queue] == [1]
+        assert not sends(play(made, counter, START + 0.01, done(1, out.pop(), Outcome.OVERLOADED)))
+        assert [job.req.request_id for job in made.queue] == [1]
     if state == "copied":
-        out += [s for s in sends(play(made, counter, START + 2.5, i.Fired(1))) if s.request == 1]
+        out += [s for s in sends(play(made, counter, START + 2.5, TimerFired(1))) if s.request_id == 1]
         assert len(out) == 2
     now = made.now
-    made.handle(now, i.Left(1))
+    made.handle(now, ClientDisconnected(1))
     made.room, found = 10.0, []
     for number, send in enumerate(out):
-        found += play(made, counter, now + 0.1, done(1, send, i.Outcome.FULL, number))
+        found += play(made, counter, now + 0.1, done(1, send, Outcome.OVERLOADED, number))
     for step in range(8):
-        found += play(made, counter, now + 0.1 + step * TICK, i.Fired(1))
-    assert 1 not in [send.request for send in sends(found)] and 1 not in made.jobs
+        found += play(made, counter, now + 0.1 + step * TICK, TimerFired(1))
+    assert 1 not in [send.request_id for send in sends(found)] and 1 not in made.jobs
 
 
 # Guards those within their quotas against being refused unheard where the counter bears few calls: of many
@@ -552,49 +566,50 @@
 def test_no_second_copy_where_none_is_allowed() -> None:
     made = gateway(caps__second_copies="false", classes__0__goal_time_s="4.0")
     hold(made, 1)
-    found: list[i.Action] = []
+    found: list[Action] = []
     for n in range(1, 80):
-        found += made.handle(START + n * TICK, i.Fired(1))
-    assert not sends(found) and i.Cancel(1, 0) in found
+        found += made.handle(START + n * TICK, TimerFired(1))
+    assert not sends(found) and Cancel(1, 0) in found
 
 
-@pytest.mark.parametrize("state", [i.State.DRAINING, i.State.GONE])
-def test_drains_are_kept_at_once(state: i.State) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_drains_are_kept_at_once(state: EndpointState) -> None:
     made = gateway([entry(1), entry(2)])
-    made.handle(START, i.Members(i.Listing.DELTA, 2, (entry(1, state=state),)))
-    assert {hold(made, rid).backend for rid in range(4)} == {2}
+    made.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, (entry(1, state=state),)))
+    assert {hold(made, rid).endpoint_id for rid in range(4)} == {2}
 
 
 def test_backends_missing_from_a_full_list_are_gone() -> None:
     made = gateway([entry(1), entry(2)])
-    made.handle(START, i.Members(i.Listing.FULL, 2, (entry(2),)))
-    assert {hold(made, rid).backend for rid in range(4)} == {2}
+    made.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (entry(2),)))
+    assert {hold(made, rid).endpoint_id for rid in range(4)} == {2}
 
 
 def test_a_cold_backend_gets_its_share_of_the_budget_only() -> None:
     made = gateway([entry(1), entry(2), entry(3, started=START)], tariffs__0__quota_rate="0")
-    cold, out = 0, deque[tuple[int, i.Send]]()
+    cold, out = 0, deque[tuple[int, StartAttempt]]()
     for rid in range(100):
         now = START + 0.5 + rid / 50
         for sent in sends(made.handle(now, request(rid))):
-            cold += sent.backend == 3
+            cold += sent.endpoint_id == 3
             out.append((rid, sent))
         if len(out) > 9:
             first, sent = out.popleft()
-            made.handle(now, done(first, sent, i.Outcome.OK, closed=True))
+            made.handle(now, done(first, sent, Outcome.OK, closed=True))
     assert 1 <= cold <= 0.3 * 100 / 2
 
 
 def test_late_and_unknown_events_do_no_harm() -> None:
     made = gateway()
     sent = hold(made, 1)
-    made.handle(START + 0.1, done(1, sent, i.Outcome.OK, closed=True))
+    made.handle(START + 0.1, done(1, sent, Outcome.OK, closed=True))
     for event in (
-        done(1, sent, i.Outcome.OK, closed=True), i.Left(1), i.Left(1), i.Left(77), i.Fired(12345),
-        i.Counted(99, i.Outcome.OK, 1.0, 0.1), i.UnderWay(1, 0, 1, 0.1), i.PeerSays(1, b"x"),
-        i.Probed(1, i.Outcome.OK, 0.1, ()), i.Finished(5, 0, 999, i.Outcome.OK, True, 0.1, 0, 0, ()),
+        done(1, sent, Outcome.OK, closed=True), ClientDisconnected(1), ClientDisconnected(1),
+        ClientDisconnected(77), TimerFired(12345),
+        CounterReply(99, Outcome.OK, 1.0, 0.1), AttemptStarted(1, 0, 1, 0.1), PeerMessage(1, b"x"),
+        ProbeFinished(1, Outcome.OK, 0.1, ()), AttemptFinished(5, 0, 999, Outcome.OK, True, 0.1, 0, 0, ()),
     ):  # fmt: skip
-        assert not [a for a in made.handle(START + 0.2, event) if not isinstance(a, i.SetTimer)]
+        assert not [a for a in made.handle(START + 0.2, event) if not isinstance(a, SetTimer)]
 
 
 # --- trouble at backends ---
@@ -603,17 +618,17 @@
 def test_a_silent_backend_is_avoided_and_its_requests_are_sent_again() -> None:
     made, counter = gateway(tariffs__0__quota_rate="0", classes__0__goal_time_s="4.0"), Counter()
     hung, later, rescued = 3, 0, 0
-    out: list[tuple[float, i.Send, int]] = []
+    out: list[tuple[float, StartAttempt, int]] = []
     for rid in range(200):
         now = START + rid * 0.05
-        found = play(made, counter, now, request(rid)) + made.handle(now, i.Fired(1))
+        found = play(made, counter, now, request(rid)) + made.handle(now, TimerFired(1))
         for sent in sends(found):
-            later += sent.backend == hung and rid > 60
-            rescued += sent.request != rid
-            out.append((now + 0.3, sent, int(sent.request != rid)))
-        for at, sent, attempt in [o for o in out if o[0] <= now and o[1].backend != hung]:
+            later += sent.endpoint_id == hung and rid > 60
+            rescued += sent.request_id != rid
+            out.append((now + 0.3, sent, int(sent.request_id != rid)))
+        for at, sent, attempt in [o for o in out if o[0] <= now and o[1].endpoint_id != hung]:
             out.remove((at, sent, attempt))
-            made.handle(now, done(sent.request, sent, i.Outcome.OK, attempt, closed=True))
+            made.handle(now, done(sent.request_id, sent, Outcome.OK, attempt, closed=True))
     assert rescued >= 1 and later <= 5
 
 
@@ -621,19 +636,19 @@
     made = gateway([entry(1), entry(2)], tariffs__0__quota_rate="0")
     sent = [s for rid in range(6) for s in sends(made.handle(START, request(rid)))]
     for send in sent:  # all that hangs on backend 1 stays out
-        if send.backend == 2:
-            made.handle(START + 0.1, done(send.request, send, i.Outcome.OK, closed=True))
+        if send.endpoint_id == 2:
+            made.handle(START + 0.1, done(send.request_id, send, Outcome.OK, closed=True))
     made.now = START + 1.5
     hanging = len(made.backends[1].out)
     assert hanging >= 1 and made.has_room()
-    assert {s.backend for s in sends(made.handle(START + 1.5, request(99)))} == {2}
+    assert {s.endpoint_id for s in sends(made.handle(START + 1.5, request(99)))} == {2}
 
 
 def test_a_failed_connection_ejects_and_the_figure_fades() -> None:
     made = gateway([entry(1), entry(2)], tariffs__0__quota_rate="0")
     (sent,) = sends(made.handle(START, request(1)))
-    made.handle(START + 0.25, done(1, sent, i.Outcome.CONNECT_FAILED))
-    backend = made.backends[sent.backend]
+    made.handle(START + 0.25, done(1, sent, Outcome.CONNECT_FAILED))
+    backend = made.backends[sent.endpoint_id]
     at_once = made.expected(backend)
     made.now = START + 30
     assert at_once > 5 * made.latency and made.expected(backend) < 1.1 * made.latency
@@ -642,12 +657,12 @@
 
 def test_calls_are_paced_down_while_the_counter_fails_and_up_again() -> None:
     counter, made = Counter(), gateway()
-    counter.outcome = i.Outcome.TIMEOUT
+    counter.outcome = Outcome.TIMEOUT
     for rid in range(200):
         serve_all(made, counter, START + rid / 50, rid, customer=rid)
     low = made.pace.pace
     assert low <= 20 and counter.calls < 150
-    counter.outcome = i.Outcome.OK
+    counter.outcome = Outcome.OK
     for rid in range(200):
         serve_all(made, counter, START + 4 + rid / 50, 1000 + rid, customer=1000 + rid)
     assert made.pace.pace > 2 * low
@@ -656,14 +671,15 @@
 # --- same events, same actions ---
 
 SCRIPT = """
-from tests.helpers import *
+from gateway.policy.events import Outcome, TimerFired
+from tests.support.policy import *
 made, counter, log = gateway(), Counter(), []
 for rid in range(200):
     found = play(made, counter, START + rid / 40, request(rid, cls=rid % 3, plan=rid % 3, customer=rid % 7))
     for s in sends(found):
         if rid % 5:
-            found += play(made, counter, START + rid / 40, done(rid, s, i.Outcome(rid % 2 * 5)))
-    log.append(repr(found + made.handle(START + rid / 40, i.Fired(1))))
+            found += play(made, counter, START + rid / 40, done(rid, s, Outcome(rid % 2 * 5)))
+    log.append(repr(found + made.handle(START + rid / 40, TimerFired(1))))
 print("".join(log))
 """
 
@@ -693,7 +709,7 @@
     """Hundreds of gateways must not each let a first request pass while the fleet is full."""
     made = gateway(caps__may_probe="true", report__how="pull", report__columns="inflight", peers_total="300")
     for _ in range(30):
-        made.handle(START, i.Probed(1, i.Outcome.OK, 0.01, (40.0,)))
+        made.handle(START, ProbeFinished(1, Outcome.OK, 0.01, (40.0,)))
     made.handle(START, request(1))
     assert not made.fits(only_lease(made), 1.0)
     made.pace.failing = 1.0
@@ -702,16 +718,16 @@
 
 def test_a_cap_is_shared_by_what_it_holds_in_a_latency() -> None:
     counter, made = Counter(), gateway(peers_total="100")
-    counter.outcome = i.Outcome.TIMEOUT
-    asked = i.Request(0, 0, 2, 5, 4.0, 1.0, 100, 0, False, False)
+    counter.outcome = Outcome.TIMEOUT
+    asked = Request(0, 0, 2, 5, 4.0, 1.0, 100, 0, False, False)
     admitted = 0
     for rid in range(300):
-        asked.request = rid
+        asked.request_id = rid
         sent = sends(play(made, counter, START + rid / 30, asked))
         admitted += len(sent)
-        asked = i.Request(0, 0, 2, 5, 4.0, 1.0, 100, 0, False, False)
+        asked = Request(0, 0, 2, 5, 4.0, 1.0, 100, 0, False, False)
         for send in sent:
-            play(made, counter, START + rid / 30 + 0.01, done(rid, send, i.Outcome.OK, closed=True))
+            play(made, counter, START + rid / 30 + 0.01, done(rid, send, Outcome.OK, closed=True))
     assert 1 <= admitted <= 30
 
 
@@ -719,13 +735,13 @@
     """It still answers the other classes, so its last answer says nothing of this one."""
     made = gateway([entry(1), entry(2)], tariffs__0__quota_rate="0")
     (sent,) = sends(made.handle(START, request(1)))
-    silent = made.backends[sent.backend]
-    made.handle(START + 2.0, i.Fired(1))
+    silent = made.backends[sent.endpoint_id]
+    made.handle(START + 2.0, TimerFired(1))
     silent.answered = silent.seen = START + 2.0
     assert 0 in silent.silent and 1 not in silent.silent
     (again,) = sends(made.handle(START + 2.5, request(2)))
-    assert again.backend != sent.backend
-    made.handle(START + 2.6, done(1, sent, i.Outcome.OK, closed=True))
+    assert again.endpoint_id != sent.endpoint_id
+    made.handle(START + 2.6, done(1, sent, Outcome.OK, closed=True))
     assert not silent.silent
 
 
@@ -735,7 +751,7 @@
     """
     made, counter = gateway(caps__retry_after="false", caps__max_retry_after_s="1.5"), Counter()
     found = [a for n in range(20) for a in play(made, counter, START, request(n, plan=1))]
-    refusals = [a for a in found if isinstance(a, i.Refuse)]
+    refusals = [a for a in found if isinstance(a, Reject)]
     assert refusals and all(0 < r.retry_after <= 1.5 for r in refusals)
 
 
@@ -743,20 +759,20 @@
     made, counter = gateway([entry(1)]), Counter()
     (send,) = sends(play(made, counter, START, request(1, cls=2)))
     late = START + 3.99
-    (refusal,) = made.handle(late, done(1, send, i.Outcome.FULL))[:1]
-    assert isinstance(refusal, i.Refuse) and refusal.retry_after > 0
+    (refusal,) = made.handle(late, done(1, send, Outcome.OVERLOADED))[:1]
+    assert isinstance(refusal, Reject) and refusal.retry_after > 0
 
 
 # Guards against growth: backends are replaced all day, under ever new ids.
 def test_backends_that_are_gone_are_forgotten_once_nothing_is_out() -> None:
     made, counter = gateway([entry(1)]), Counter()
     (send,) = sends(play(made, counter, START, request(1)))
-    gone = entry(1, state=i.State.GONE)
-    made.handle(START + 1, i.Members(i.Listing.DELTA, 2, (gone, entry(2))))
-    assert set(made.backends) == {1, 2} and [b.entry.backend for b in made.live] == [2]
-    made.handle(START + 1.1, done(1, send, i.Outcome.OK, closed=True))
+    gone = entry(1, state=EndpointState.GONE)
+    made.handle(START + 1, EndpointUpdate(UpdateKind.DELTA, 2, (gone, entry(2))))
+    assert set(made.backends) == {1, 2} and [b.entry.endpoint_id for b in made.live] == [2]
+    made.handle(START + 1.1, done(1, send, Outcome.OK, closed=True))
     assert set(made.backends) == {2}
-    made.handle(START + 2, i.Members(i.Listing.DELTA, 3, (entry(2, state=i.State.GONE),)))
+    made.handle(START + 2, EndpointUpdate(UpdateKind.DELTA, 3, (entry(2, state=EndpointState.GONE),)))
     assert not made.backends
 
 
@@ -766,11 +782,11 @@
     (held,) = sends(play(made, counter, START, request(1, customer=1)))
     for number in range(2, 40):
         (send,) = sends(play(made, counter, START + number, request(number, customer=number)))
-        play(made, counter, START + number, done(number, send, i.Outcome.OK, closed=True))
+        play(made, counter, START + number, done(number, send, Outcome.OK, closed=True))
     for _ in range(3):
-        play(made, counter, START + 60, i.Fired(1))
+        play(made, counter, START + 60, TimerFired(1))
         made.scan_at = 0.0
     assert {customer for customer, _ in made.leases} == {1, *range(30, 40)}
-    made.handle(START + 61, done(1, held, i.Outcome.OK, closed=True))
-    made.handle(START + 200, i.Fired(1))
+    made.handle(START + 61, done(1, held, Outcome.OK, closed=True))
+    made.handle(START + 200, TimerFired(1))
     assert not made.leases
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from gateway.policy import interface as i
+from gateway.policy.actions import AddToCounter
 from gateway.policy.engine import TICK
+from gateway.policy.events import CounterReply, Event, Outcome, TimerFired
 from tests.support.policy import START, Counter, done, gateway, play, request, sends
 
 GATEWAYS, WIDTH, CUSTOMERS, SECONDS = 12, 6, 60, 20
@@ -27,9 +28,9 @@
         if int(now) != self.second:
             self.second, self.taken = int(now), 0
 
-    def answer(self, call: i.Count) -> i.Counted:
+    def answer(self, call: AddToCounter) -> CounterReply:
         self.taken += 1
-        self.outcome = i.Outcome.OK if self.taken <= self.bears else i.Outcome.FULL
+        self.outcome = Outcome.OK if self.taken <= self.bears else Outcome.OVERLOADED
         return super().answer(call)
 
 
@@ -85,12 +86,12 @@
     ]
     sent = 0
 
-    def act(at: int, now: float, event: i.Event) -> None:
+    def act(at: int, now: float, event: Event) -> None:
         nonlocal sent
         for send in sends(play(fleet[at], counter, now, event)):
-            true[day[send.request][1]].take(now)
+            true[day[send.request_id][1]].take(now)
             sent += 1
-            act(at, now, done(send.request, send, i.Outcome.OK, closed=True))
+            act(at, now, done(send.request_id, send, Outcome.OK, closed=True))
 
     rid = 0
     for step in range(int(SECONDS / TICK)):
@@ -102,7 +103,7 @@
             rid += 1
         for at, made in enumerate(fleet):
             if made.jobs or made.holding:
-                act(at, now, i.Fired(1))
+                act(at, now, TimerFired(1))
     return sent, sum(store.beyond for store in true)
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -10,8 +10,16 @@
 
 import pytest
 
-from gateway.policy import interface as i
-from gateway.policy.engine import TICK, Gateway
+from gateway.policy.engine import TICK, Policy
+from gateway.policy.events import (
+    AttemptFinished,
+    EndpointRecord,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    TimerFired,
+    UpdateKind,
+)
 from tests.support.policy import START, done, entry, gateway, request, sends
 
 COLD_SHARE, WARM_UP = 0.2, 10.0  # the helpers' rules
@@ -39,7 +47,7 @@
             return 1.0
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (now - STARTED) / WARM_UP)
 
-    def take(self, backend: int, now: float) -> tuple[float, i.Outcome]:
+    def take(self, backend: int, now: float) -> tuple[float, Outcome]:
         """When it will have answered, and how."""
         share = self.share(backend, now)
         if share < 1:
@@ -52,10 +60,10 @@
         busy = self.busy.setdefault(backend, [0.0] * SLOTS)
         begins = max(now, busy[0])
         if begins - now > QUEUE:
-            return now + 0.001, i.Outcome.FULL
+            return now + 0.001, Outcome.OVERLOADED
         ends = begins + self.random.expovariate(self.capacity * share / SLOTS)
         heapq.heapreplace(busy, ends)
-        return ends, i.Outcome.OK
+        return ends, Outcome.OK
 
 
 class Fleet:
@@ -78,32 +86,32 @@
         self.weights = [self.random.lognormvariate(0.0, 0.8) for _ in range(peers)]
         self.made = [self.make(n, START) for n in range(peers)]
         self.down: set[int] = set()
-        self.ending: list[tuple[float, int, int, i.Finished, Gateway]] = []
+        self.ending: list[tuple[float, int, int, AttemptFinished, Policy]] = []
         self.served = self.sent = 0
 
-    def members(self, now: float) -> tuple[i.Entry, ...]:
+    def members(self, now: float) -> tuple[EndpointRecord, ...]:
         return tuple(
             entry(n, cell=n % 2, started=STARTED if n in self.cold and now >= STARTED else 0.0)
             for n in range(1, COUNT + 1)
         )
 
-    def make(self, me: int, now: float) -> Gateway:
+    def make(self, me: int, now: float) -> Policy:
         """A process that has just started: it knows the list and nothing else."""
         return gateway(self.members(now), self.random.getrandbits(32), me=str(me), **self.settings)
 
-    def act(self, at: int, now: float, event: i.Event) -> None:
+    def act(self, at: int, now: float, event: Event) -> None:
         for send in sends(self.made[at].handle(now, event)):
             self.sent += 1
-            ends, outcome = self.backends.take(send.backend, now)
-            attempt = self.made[at].jobs[send.request].attempts - 1
-            told = done(send.request, send, outcome, attempt, closed=outcome is i.Outcome.OK)
+            ends, outcome = self.backends.take(send.endpoint_id, now)
+            attempt = self.made[at].jobs[send.request_id].attempts - 1
+            told = done(send.request_id, send, outcome, attempt, closed=outcome is Outcome.OK)
             heapq.heappush(self.ending, (ends, self.sent, at, told, self.made[at]))
 
     def end(self, now: float) -> None:
         while self.ending and self.ending[0][0] <= now:
             ends, _, at, told, made = heapq.heappop(self.ending)
             if made is self.made[at] and at not in self.down:
-                self.served += told.outcome is i.Outcome.OK
+                self.served += told.outcome is Outcome.OK
                 self.act(at, ends, told)
 
     def play(self, rate: float, burst: float) -> None:
@@ -117,11 +125,11 @@
                 self.end(tick)
                 for at in range(self.peers):
                     if at not in self.down and (self.made[at].jobs or self.made[at].holding):
-                        self.act(at, tick, i.Fired(1))
+                        self.act(at, tick, TimerFired(1))
             if now >= STARTED and not told:
                 told = True
                 for at in range(self.peers):
-                    self.act(at, now, i.Members(i.Listing.FULL, 2, self.members(now)))
+                    self.act(at, now, EndpointUpdate(UpdateKind.SNAPSHOT, 2, self.members(now)))
             if now >= KILLED and not killed:
                 killed, self.down = True, set(self.victims)
             if now >= BACK and not back:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -9,8 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateway.policy import interface as i
-from gateway.policy.engine import Backend, Job
+from gateway.policy.engine import Endpoint, PendingRequest
+from gateway.policy.events import (
+    AttemptFinished,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    UpdateKind,
+)
 from gateway.policy.subsetting import LEAST_BACKENDS, LEAST_SHARERS, arc, place
 from tests.support.policy import START, Counter, done, entry, gateway, play, request, sends
 
@@ -53,47 +60,47 @@
     counter, used = Counter(), set()
     for rid in range(200):
         (send,) = sends(play(made, counter, START + rid, request(rid, customer=rid)))
-        used.add(send.backend)
+        used.add(send.endpoint_id)
         play(
             made,
             counter,
             START + rid + 0.1,
-            i.Finished(rid, 0, send.backend, i.Outcome.OK, True, 0.1, 0, 0, ()),
+            AttemptFinished(rid, 0, send.endpoint_id, Outcome.OK, True, 0.1, 0, 0, ()),
         )
     assert len(used) <= LEAST_BACKENDS
-    gone = tuple(entry(n, state=i.State.GONE) for n in used)
-    made.handle(START + 300, i.Members(i.Listing.DELTA, 2, gone))
+    gone = tuple(entry(n, state=EndpointState.GONE) for n in used)
+    made.handle(START + 300, EndpointUpdate(UpdateKind.DELTA, 2, gone))
     (send,) = sends(play(made, counter, START + 300, request(999, customer=999)))
-    assert send.backend not in used
+    assert send.endpoint_id not in used
 
 
 # Guards a request against costing what the whole list does, and the choice against changing with that: each
 # list of candidates is the one that a walk through all backends gives.
 @given(
-    st.lists(st.tuples(st.integers(1, 60), st.sampled_from(i.State), st.booleans()), max_size=30),
+    st.lists(st.tuples(st.integers(1, 60), st.sampled_from(EndpointState), st.booleans()), max_size=30),
     st.integers(0, 39),
     st.integers(0, 1 << 16),
 )
 @settings(max_examples=60, deadline=None)
 def test_candidates_are_those_of_a_walk_through_all(
-    changes: list[tuple[int, i.State, bool]], me: int, seed: int
+    changes: list[tuple[int, EndpointState, bool]], me: int, seed: int
 ) -> None:
     listed = [entry(n, cell=n % 3) for n in range(1, 41)]
     made = gateway(listed, seed, me=str(me), peers_total="40", tariffs__0__quota_rate="0")
     for version, (number, state, cold) in enumerate(changes, 2):
         told = entry(number, cell=number % 3, state=state, started=START if cold else 0.0)
-        made.handle(START, i.Members(i.Listing.DELTA, version, (told,)))
+        made.handle(START, EndpointUpdate(UpdateKind.DELTA, version, (told,)))
     looked: list[list[int]] = []
     best = made.best
 
-    def recorded(job: Job, fits: list[Backend]) -> Backend | None:
-        near = {b.entry.backend for b in made.near}
+    def recorded(job: PendingRequest, fits: list[Endpoint]) -> Endpoint | None:
+        near = {b.entry.endpoint_id for b in made.near}
         if len(made.near) < len(made.live):
             allowed = made.allowed(job)
-            others = [b for b in allowed if b.entry.backend not in near and made.warmth(b) >= 1]
-            walk = others if looked else [b for b in allowed if b.entry.backend in near]
-            assert [b.entry.backend for b in fits] == [b.entry.backend for b in walk]
-        looked.append([b.entry.backend for b in fits])
+            others = [b for b in allowed if b.entry.endpoint_id not in near and made.warmth(b) >= 1]
+            walk = others if looked else [b for b in allowed if b.entry.endpoint_id in near]
+            assert [b.entry.endpoint_id for b in fits] == [b.entry.endpoint_id for b in walk]
+        looked.append([b.entry.endpoint_id for b in fits])
         return best(job, fits)
 
     made.best = recorded  # type: ignore[method-assign]
@@ -103,21 +110,21 @@
         assert bool(sends(found)) <= bool(looked)
         for send in sends(found):
             looked.clear()
-            made.handle(START + rid, done(rid, send, i.Outcome.RESET))
+            made.handle(START + rid, done(rid, send, Outcome.RESET))
 
 
 def test_a_request_does_not_look_at_backends_that_are_not_near() -> None:
     looked = 0
 
-    class Watched(i.Entry):
+    class Watched(EndpointRecord):
         """An entry that tells when a choice looks at it."""
 
         def __getattribute__(self, name: str) -> Any:
             nonlocal looked
-            looked += name == "backend"
+            looked += name == "endpoint_id"
             return super().__getattribute__(name)
 
-    listed = [Watched(n, 0, 0.0, i.State.READY, 0, 0, 1.0) for n in range(1, 2001)]
+    listed = [Watched(n, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for n in range(1, 2001)]
     made = gateway(listed, 1, peers_total="2000", tariffs__0__quota_rate="0")
     looked = 0
     assert sends(made.handle(START, request(1)))
