--- a/tests/process/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -10,10 +10,19 @@
 
 import pytest
 
-from gateway.__main__ import FrontDoor
-from gateway.frontend.listener import Client as Connection
-from gateway.policy import interface as i
-from gateway.policy.interface import Outcome
+from gateway.__main__ import GatewayProcess
+from gateway.frontend.listener import ClientConnection as Connection
+from gateway.policy.actions import Action, Reject, StartAttempt
+from gateway.policy.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    Request,
+    UpdateKind,
+)
 from gateway.upstream import client as upstream
 from tests.support.sockets import (
     FIRST,
@@ -60,10 +69,10 @@
     return gate
 
 
-def to_another(event: Any) -> list[i.Action]:
+def to_another(event: Any) -> list[Action]:
     """Sends each request to the first backend, then to the second where it never ran."""
-    if isinstance(event, i.Finished) and event.outcome.never_ran:
-        return [i.Send(event.request, 2, 0.0)]
+    if isinstance(event, AttemptFinished) and event.outcome.never_ran:
+        return [StartAttempt(event.request_id, 2, 0.0)]
     return send_on(event)
 
 
@@ -83,20 +92,22 @@
             waiting = asyncio.create_task(client.ask(2))
             await until(lambda: gate.asked == 1)
             address = door.host.upstream.pools[FIRST].address
-            state = {"draining": i.State.DRAINING, "gone": i.State.GONE}.get(how, i.State.READY)
-            entry = i.Entry(FIRST, 0, 9.0 if how == "moved" else 0.0, state, 0, 0, 1.0)
+            state = {"draining": EndpointState.DRAINING, "gone": EndpointState.GONE}.get(
+                how, EndpointState.READY
+            )
+            entry = EndpointRecord(FIRST, 0, 9.0 if how == "moved" else 0.0, state, 0, 0, 1.0)
             if how == "left out":
-                beside = i.Entry(2, 0, 0.0, state, 0, 0, 1.0)
-                told = i.Members(i.Listing.FULL, 42, (beside,))
+                beside = EndpointRecord(2, 0, 0.0, state, 0, 0, 1.0)
+                told = EndpointUpdate(UpdateKind.SNAPSHOT, 42, (beside,))
                 door.host.members(told, {2: door.host.upstream.pools[2].address})
             else:
-                door.host.members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
+                door.host.members(EndpointUpdate(UpdateKind.DELTA, 42, (entry,)), {FIRST: address})
             gate.open.set()
             assert (await waiting).body == b"other"
             # The module hears why first: else it could choose the same backend again.
             kinds = [type(e).__name__ for e in script.events]
-            assert kinds.index("Finished") > kinds.index("Members")
-            assert script.outcomes() == [Outcome.MOOT, Outcome.OK]
+            assert kinds.index("AttemptFinished") > kinds.index("EndpointUpdate")
+            assert script.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
             await until(lambda: leaving.opened == 1)
             assert not leaving.seen
 
@@ -105,9 +116,9 @@
 
 # Guards against a second copy that is sent on for a client that left while it waited for a connection.
 def test_a_second_copy_that_waits_is_not_sent_once_its_client_has_left() -> None:
-    def react(event: Any) -> list[i.Action]:
-        if isinstance(event, i.Request):
-            return [i.Send(event.request, FIRST, 0.0), i.Send(event.request, 2, 0.0)]
+    def react(event: Any) -> list[Action]:
+        if isinstance(event, Request):
+            return [StartAttempt(event.request_id, FIRST, 0.0), StartAttempt(event.request_id, 2, 0.0)]
         return []
 
     async def test() -> None:
@@ -122,7 +133,7 @@
             async with Client(door.server) as client:
                 client.writer.write(client.request())
                 await until(lambda: backend.seen and gate.asked == 2)
-            await until(lambda: script.outcomes() == [Outcome.MOOT])
+            await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
             gate.open.set()
             await until(lambda: door.host.upstream.pools[2].idle)
             assert not second.seen
@@ -142,7 +153,7 @@
             async with Client(door.server) as client:
                 client.writer.write(client.request(2))
                 await until(lambda: gate.asked == 1)
-            await until(lambda: script.outcomes() == [Outcome.MOOT])
+            await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
             assert not door.host.table and not door.server.ids
             gate.open.set()
             await until(lambda: door.host.upstream.pools[FIRST].idle)  # it is paid for and kept
@@ -159,12 +170,14 @@
 def test_what_waits_for_a_connection_is_not_sent_after_the_final_answer(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def react(event: Any) -> list[i.Action]:
-        if isinstance(event, i.Request):
-            copies: list[i.Action] = [i.Send(event.request, 2, 0.0)]
-            if event.request > 1:
+    def react(event: Any) -> list[Action]:
+        if isinstance(event, Request):
+            copies: list[Action] = [StartAttempt(event.request_id, 2, 0.0)]
+            if event.request_id > 1:
                 copies.append(
-                    i.Refuse(event.request, 0.0) if how == "given up" else i.Send(event.request, FIRST, 0.0)
+                    Reject(event.request_id, 0.0)
+                    if how == "given up"
+                    else StartAttempt(event.request_id, FIRST, 0.0)
                 )
             return copies
         return []
@@ -186,7 +199,7 @@
                 gate.open_for = door.host.upstream.pools[FIRST].address.port
             waiting = asyncio.create_task(client.ask(Request_Id="once"))
             assert (await waiting).status == (503 if how == "given up" else 200)
-            await until(lambda: Outcome.MOOT in script.outcomes() and not door.host.table)
+            await until(lambda: Outcome.NOT_STARTED in script.outcomes() and not door.host.table)
             if how != "resting":
                 gate.open.set()
             await until(lambda: door.host.upstream.pools[2].idle)
@@ -209,7 +222,7 @@
         old, new = host_line("s-00000001", "127.0.0.1:1"), host_line("s-00000002", "127.0.0.1:2")
         agent.whole = json.dumps({"seq": 42, "whole": True, "hosts": [new]}).encode()
         async with listening(late) as discovery:
-            door = FrontDoor(config([old], discovery=discovery))
+            door = GatewayProcess(config([old], discovery=discovery))
             door.list_wait = 0.05 if away else 15.0
             start = asyncio.create_task(door.start())
             if not away:
@@ -224,7 +237,7 @@
     run(test())
 
 
-def connected(door: FrontDoor) -> socket.socket:
+def connected(door: GatewayProcess) -> socket.socket:
     """A client of the front door that acts between two steps of the loop."""
     assert door.server.server is not None
     client = socket.create_connection(door.server.server.sockets[0].getsockname())
@@ -245,7 +258,7 @@
     return data
 
 
-async def ask_four(door: FrontDoor, client: socket.socket, high: int | None = None) -> None:
+async def ask_four(door: GatewayProcess, client: socket.socket, high: int | None = None) -> None:
     """Four requests at once, over a connection that holds few bytes of their answers."""
     await until(lambda: door.server.clients)
     (served,) = door.server.clients
@@ -349,14 +362,14 @@
     async def test() -> None:
         backend = Backend(lambda message: http_answer(body=b"x" * 60_000))
 
-        def react(event: Any) -> list[i.Action]:
-            return [] if getattr(event, "request", 0) == 4 else send_on(event)
+        def react(event: Any) -> list[Action]:
+            return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
 
         async with listening(backend.handle) as dial, front_door(dial, react=react) as (door, script):
             with connected(door) as client:
                 await ask_four(door, client)
                 await until(lambda: door.server.unflushed() and door.host.waiting == 1)
-            await until(lambda: script.of(i.Left))
+            await until(lambda: script.of(ClientDisconnected))
             assert not door.host.table
 
     run(test())
@@ -369,8 +382,8 @@
     async def test() -> None:
         backend = Backend(lambda message: http_answer(body=b"x" * 60_000))
 
-        def react(event: Any) -> list[i.Action]:
-            return [] if getattr(event, "request", 0) == 4 else send_on(event)
+        def react(event: Any) -> list[Action]:
+            return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
 
         async with listening(backend.handle) as dial, front_door(dial, react=react) as (door, script):
             with connected(door) as client:
@@ -378,7 +391,7 @@
                 await until(lambda: door.server.unflushed() and door.host.waiting == 1)
                 client.shutdown(socket.SHUT_WR)
                 began = time.monotonic()
-                await until(lambda: script.of(i.Left))
+                await until(lambda: script.of(ClientDisconnected))
                 assert time.monotonic() - began < 0.5
             await until(lambda: not door.server.clients and not door.host.table)
 
@@ -401,7 +414,7 @@
                 async with Client(door.server) as client:
                     client.writer.write(client.request(2, body=b"x" * 60_000))
                     await until(lambda: any(link.unsent for link in pool.links))
-                await until(lambda: script.outcomes() == [Outcome.MOOT])
+                await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
                 assert not pool.links and not door.host.table
                 taken, _ = slow.accept()
                 with taken:
--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -12,9 +12,20 @@
 import pytest
 
 from gateway.frontend.listener import IDLE_TIMEOUT, MOST_BODY, MOST_HEAD, MOST_PIPELINED
-from gateway.policy import interface as i
+from gateway.policy.actions import Action, Cancel, Fail, Probe, Reject, SetTimer, StartAttempt
 from gateway.policy.engine import WINDOW, mix
-from gateway.policy.interface import Outcome
+from gateway.policy.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    ProbeFinished,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
 from tests.support.sockets import (
     FIRST,
     Backend,
@@ -62,8 +73,8 @@
 
 def test_the_module_hears_the_terms_of_a_request() -> None:
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            return [i.Refuse(event.request, 0.25)] if isinstance(event, i.Request) else []
+        def react(event: Any) -> list[Action]:
+            return [Reject(event.request_id, 0.25)] if isinstance(event, Request) else []
 
         async with front_door("127.0.0.1:1", react=react) as (door, script), Client(door.server) as client:
             answer = await client.ask(
@@ -71,10 +82,15 @@
             )
             # What the module has given up on is answered at once, with the time to come back.
             assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
-            (event,) = script.of(i.Request)
-            assert (event.cls, event.plan, event.customer) == (2, 1, 5)
-            assert (event.units, event.width, event.first, event.is_retry) == (2.0, 2, 1, True)
-            assert 0.8 < event.left <= 0.9
+            (event,) = script.of(Request)
+            assert (event.class_index, event.plan_index, event.customer) == (2, 1, 5)
+            assert (event.units, event.gateway_set_size, event.first_gateway, event.is_retry) == (
+                2.0,
+                2,
+                1,
+                True,
+            )
+            assert 0.8 < event.time_remaining <= 0.9
 
     run(test())
 
@@ -156,7 +172,7 @@
             assert [a.status for a in answers] == [200] * MOST_PIPELINED + [503]
             assert "retry-after" in answers[-1].headers
             assert await client.reader.read() == b""  # the rest is not read as requests
-            assert len(script.of(i.Request)) == MOST_PIPELINED
+            assert len(script.of(Request)) == MOST_PIPELINED
 
     run(test())
 
@@ -209,13 +225,13 @@
 
 def test_pipelined_requests_are_answered_in_their_order() -> None:
     async def test() -> None:
-        held: list[i.Request] = []
+        held: list[Request] = []
 
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request):
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request):
                 held.append(event)
                 if len(held) == 2:  # the second is answered first
-                    return [i.Refuse(held[1].request, 0.0), i.Fail(held[0].request)]
+                    return [Reject(held[1].request_id, 0.0), Fail(held[0].request_id)]
             return []
 
         async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
@@ -233,7 +249,7 @@
             async with Client(door.server) as client:
                 client.writer.write(client.request())
                 await until(lambda: backend.seen)
-            await until(lambda: script.of(i.Left))
+            await until(lambda: script.of(ClientDisconnected))
             assert backend.open == 1 and not script.outcomes() and door.host.table
 
     run(test())
@@ -242,8 +258,8 @@
 def test_outcomes_tell_what_never_ran() -> None:
     replies: list[tuple[bytes, Outcome]] = [
         (http_answer(500), Outcome.ERROR),
-        (http_answer(503, Not_Started="1"), Outcome.FULL),
-        (http_answer(504, Not_Started="1"), Outcome.FULL),
+        (http_answer(503, Not_Started="1"), Outcome.OVERLOADED),
+        (http_answer(504, Not_Started="1"), Outcome.OVERLOADED),
         (http_answer(503), Outcome.ERROR),  # no proof that it never ran
         (b"", Outcome.RESET),  # closed after the whole request was written
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf", Outcome.RESET),
@@ -385,8 +401,8 @@
         ):
             assert (await client.ask()).status == 200
             (address,) = [pool.address for pool in door.host.upstream.pools.values()]
-            entry = i.Entry(FIRST, 0, time.time(), i.State.READY, 0, 0, 1.0)
-            door.host.members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
+            entry = EndpointRecord(FIRST, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
+            door.host.members(EndpointUpdate(UpdateKind.DELTA, 42, (entry,)), {FIRST: address})
             await until(lambda: backend.open == 0)
             assert (await client.ask()).status == 200
             assert backend.opened == 2
@@ -405,7 +421,7 @@
         ):
             for _ in loads:
                 assert (await client.ask()).status == 200
-            reports = [event.report for event in script.of(i.Finished)]
+            reports = [event.load_report for event in script.of(AttemptFinished)]
             assert reports == [(180.5, 0.61, 2.0), (), (), ()]
 
     run(test())
@@ -413,8 +429,8 @@
 
 def test_a_probe_brings_the_load_report() -> None:
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            return [i.Probe(FIRST), i.Refuse(event.request, 0.0)] if isinstance(event, i.Request) else []
+        def react(event: Any) -> list[Action]:
+            return [Probe(FIRST), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
 
         backend = Backend(lambda message: http_answer(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
         async with (
@@ -423,9 +439,13 @@
             Client(door.server) as client,
         ):
             assert (await client.ask()).status == 503
-            await until(lambda: script.of(i.Probed))
-            (probed,) = script.of(i.Probed)
-            assert (probed.backend, probed.outcome, probed.report) == (FIRST, Outcome.OK, (9.0, 0.5, 1.0))
+            await until(lambda: script.of(ProbeFinished))
+            (probed,) = script.of(ProbeFinished)
+            assert (probed.endpoint_id, probed.outcome, probed.load_report) == (
+                FIRST,
+                Outcome.OK,
+                (9.0, 0.5, 1.0),
+            )
             assert backend.seen[0].start == "GET /-/load HTTP/1.1"
 
     run(test())
@@ -436,14 +456,17 @@
     """Two attempts must never be out at once: the first one's connection ends, then the module goes on."""
 
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request):
-                return [i.Send(event.request, FIRST, 0.1 if how == "time-out" else 0.0), i.SetTimer(0.0, 1)]
-            if isinstance(event, i.Fired) and how == "cancel":
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request):
+                return [
+                    StartAttempt(event.request_id, FIRST, 0.1 if how == "time-out" else 0.0),
+                    SetTimer(0.0, 1),
+                ]
+            if isinstance(event, TimerFired) and how == "cancel":
                 # Not before the backend has the request whole, or it would never have been out.
-                return [i.Cancel(1, 0)] if silent.seen else [i.SetTimer(0.0, 1)]
-            if isinstance(event, i.Finished) and event.attempt == 0:
-                return [i.Send(event.request, 2, 0.0)]
+                return [Cancel(1, 0)] if silent.seen else [SetTimer(0.0, 1)]
+            if isinstance(event, AttemptFinished) and event.attempt == 0:
+                return [StartAttempt(event.request_id, 2, 0.0)]
             return []
 
         silent = Backend(lambda message: None)
@@ -582,9 +605,12 @@
 
 def test_a_second_copy_is_not_sent_where_the_settings_forbid_it() -> None:
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request):
-                return [i.Send(event.request, FIRST, 0.0), i.Send(event.request, FIRST, 0.0)]
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request):
+                return [
+                    StartAttempt(event.request_id, FIRST, 0.0),
+                    StartAttempt(event.request_id, FIRST, 0.0),
+                ]
             return []
 
         backend = Backend()
@@ -594,15 +620,15 @@
             Client(door.server) as client,
         ):
             assert (await client.ask()).status == 200
-            assert script.outcomes() == [Outcome.MOOT, Outcome.OK] and len(backend.seen) == 1
+            assert script.outcomes() == [Outcome.NOT_STARTED, Outcome.OK] and len(backend.seen) == 1
 
     run(test())
 
 
 def test_a_request_is_answered_in_time_whatever_the_module_does() -> None:
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            return [i.Send(event.request, FIRST, 0.0)] if isinstance(event, i.Request) else []
+        def react(event: Any) -> list[Action]:
+            return [StartAttempt(event.request_id, FIRST, 0.0)] if isinstance(event, Request) else []
 
         backend = Backend(lambda message: None)
         async with (
@@ -614,7 +640,7 @@
             assert (await client.ask(2, 300)).status == 504
             assert time.monotonic() - began < 0.35  # its deadline, and the 50 ms that the rule allows beyond
             # The attempt was given up before the deadline, and nothing is left behind.
-            assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(i.Left)) == 1
+            assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(ClientDisconnected)) == 1
             assert not door.host.table and door.host.waiting == 0
 
     run(test())
@@ -622,10 +648,10 @@
 
 def test_an_error_in_the_module_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request) and event.cls == 0:
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request) and event.class_index == 0:
                 raise RuntimeError("a bug")
-            if isinstance(event, i.Finished) and event.outcome is not Outcome.OK:
+            if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
                 raise RuntimeError("another")
             return send_on(event)
 
@@ -641,7 +667,10 @@
             assert not door.host.table
 
     run(test())
-    assert "the module failed on Request" in caplog.text and "the module failed on Finished" in caplog.text
+    assert (
+        "the module failed on Request" in caplog.text
+        and "the module failed on AttemptFinished" in caplog.text
+    )
 
 
 def test_timers_never_fire_early() -> None:
@@ -651,11 +680,11 @@
         due: dict[int, float] = {}
         fired: list[tuple[int, float]] = []
 
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request):
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request):
                 due.update({n: door.host.now + n * 0.0017 for n in range(40)})
-                return [i.SetTimer(at, n) for n, at in due.items()]
-            if isinstance(event, i.Fired):
+                return [SetTimer(at, n) for n, at in due.items()]
+            if isinstance(event, TimerFired):
                 fired.append((event.token, door.host.now))
             return []
 
@@ -674,20 +703,20 @@
             async with Client(door.server) as one, Client(door.server) as two:
                 for busy in (one, two):
                     busy.writer.write(busy.request())
-                await until(lambda: len(script.of(i.Request)) == 2)
+                await until(lambda: len(script.of(Request)) == 2)
                 async with Client(door.server) as three:
                     answer = await three.ask()
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
-                assert len(script.of(i.Request)) == 2
+                assert len(script.of(Request)) == 2
 
     run(test())
 
 
 def test_backend_connections_are_bounded_and_idle_ones_make_room() -> None:
     async def test() -> None:
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request):
-                return [i.Send(event.request, event.cls + 1, 0.0)]
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, event.class_index + 1, 0.0)]
             return send_on(event)
 
         one, two = Backend(), Backend(lambda message: None)
@@ -705,7 +734,7 @@
             await until(lambda: two.seen)
             await until(lambda: one.open == 0)
             assert (await other.ask(2)).status == 502  # no room left: it never ran
-            assert script.outcomes() == [Outcome.OK, Outcome.FULL]
+            assert script.outcomes() == [Outcome.OK, Outcome.OVERLOADED]
 
     run(test())
 
@@ -722,9 +751,9 @@
 
         backend = Backend()
 
-        def react(event: Any) -> list[i.Action]:
-            if isinstance(event, i.Request):
-                return [i.Send(event.request, 2 if event.cls == 2 else FIRST, 0.0)]
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, 2 if event.class_index == 2 else FIRST, 0.0)]
             return []
 
         async with (
@@ -735,7 +764,7 @@
             Client(door.server) as client,
         ):
             waiting = asyncio.create_task(held.ask(2))
-            await until(lambda: script.of(i.Request))
+            await until(lambda: script.of(Request))
             drained = asyncio.create_task(door.drain())
             await asyncio.sleep(0)
             async with Client(door.server) as late:  # connections go on coming for a while
@@ -755,7 +784,7 @@
         backend = Backend(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=lambda e: send_on(e) if isinstance(e, i.Request) else []) as (door, _),
+            front_door(dial, react=lambda e: send_on(e) if isinstance(e, Request) else []) as (door, _),
             Client(door.server) as client,
         ):
             waiting = asyncio.create_task(client.ask(2, 60_000))
--- a/tests/scaletest/test_scaletest.py
+++ b/tests/scaletest/test_scaletest.py
@@ -9,7 +9,7 @@
 import pytest
 from typer.testing import CliRunner
 
-from gateway.policy import interface as i
+from gateway.policy.events import EndpointRecord, EndpointUpdate, UpdateKind
 from scaletest import hollow_gateway, membership, result
 from scaletest.__main__ import app
 from scaletest.result import Point
@@ -84,11 +84,11 @@
     made = load(scenario(tmp_path / "it.toml"))
     size = Size(servers=2000, doors=5)
 
-    def drawn(seed: int) -> tuple[i.Entry, ...]:
+    def drawn(seed: int) -> tuple[EndpointRecord, ...]:
         return hollow_gateway.servers(size, made, np.random.default_rng(seed))
 
     assert drawn(1) == drawn(1) != drawn(2)
-    assert len({entry.backend for entry in drawn(1)}) == 2000
+    assert len({entry.endpoint_id for entry in drawn(1)}) == 2000
     assert {entry.zone for entry in drawn(1)} == {0, 1} and {entry.cell for entry in drawn(1)} == {0, 1, 2}
 
 
@@ -97,7 +97,7 @@
     size = made.sizes[0]
     entries = hollow_gateway.servers(size, made, np.random.default_rng(1))
     door = hollow_gateway.front_door(size, made)
-    door.handle(hollow_gateway.START, i.Members(i.Listing.FULL, 1, entries))
+    door.handle(hollow_gateway.START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     for number in range(50):
         membership.request(door, number, hollow_gateway.START + 1 + number)
     assert (
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -9,7 +9,37 @@
 
 import pytest
 
-from gateway.policy import interface as i
+from gateway.policy.actions import (
+    Action,
+    AddToCounter,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchEndpoints,
+    Log,
+    Probe,
+    Reject,
+    SendToPeers,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from gateway.policy.events import (
+    AttemptFinished,
+    AttemptStarted,
+    ClientDisconnected,
+    CounterReply,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    PeerMessage,
+    ProbeFinished,
+    Request,
+    TimerFired,
+    UpdateKind,
+)
 from gateway.settings_parser import SettingsError, parse_settings
 from gateway.simulator import adapter, codec
 from tests.support.policy import text
@@ -22,7 +52,7 @@
     return codec.decode_batch(data[: codec.HEADER.size], data[codec.HEADER.size :])
 
 
-def one(record: str) -> i.Event | codec.Configure | codec.Crash:
+def one(record: str) -> Event | codec.Configure | codec.Crash:
     body = bytes.fromhex("0c03000000" + record)
     head = codec.HEADER.pack(2, len(body) + 12, 1.0, 1)
     (found,) = codec.decode_batch(head, body).records
@@ -43,18 +73,23 @@
         "074d000000000000000c0500000006192b6f0ea8d80100"
     )  # fmt: skip
     (at3, demand), (_, fired), (at5, left) = got.records
-    assert (at3, at5, fired) == (3, 5, i.Fired(77))
-    assert isinstance(demand, i.Request)
-    assert (demand.request, demand.units, demand.width, demand.first) == (0x893B25D3A91C4, 2.0, 3, 1)
-    assert demand.left == 0.24 and not demand.is_retry
-    assert left == i.Left(0x1D8A80E6F2B19)
+    assert (at3, at5, fired) == (3, 5, TimerFired(77))
+    assert isinstance(demand, Request)
+    assert (demand.request_id, demand.units, demand.gateway_set_size, demand.first_gateway) == (
+        0x893B25D3A91C4,
+        2.0,
+        3,
+        1,
+    )
+    assert demand.time_remaining == 0.24 and not demand.is_retry
+    assert left == ClientDisconnected(0x1D8A80E6F2B19)
 
 
 def test_published_reply() -> None:
-    sent: list[i.Action | codec.Fault] = [
-        i.Send(0x893B25D3A91C4, 0x03124A07, 0.08),
-        i.SetTimer(struct.unpack("<d", bytes.fromhex("508d976e12d32140"))[0], 77),
-        i.Log("two servers unknown"),
+    sent: list[Action | codec.Fault] = [
+        StartAttempt(0x893B25D3A91C4, 0x03124A07, 0.08),
+        SetTimer(struct.unpack("<d", bytes.fromhex("508d976e12d32140"))[0], 77),
+        Log("two servers unknown"),
     ]
     assert codec.encode_reply(12, [(3, sent), (4, [])]).hex() == (
         "49000000040000000c0000000e0300000001c4913a5db2930800074a12037b14ae47e17ab43f"
@@ -68,11 +103,11 @@
     [
         (
             "04c4913a5db29308000000074a12038b6ce7fba9f1823f",
-            i.UnderWay(0x893B25D3A91C4, 0, 0x03124A07, 0.00925),
+            AttemptStarted(0x893B25D3A91C4, 0, 0x03124A07, 0.00925),
         ),
-        ("06192b6f0ea8d80100", i.Left(0x1D8A80E6F2B19)),
-        ("074d00000000000000", i.Fired(77)),
-        ("09020004006869 2037", i.PeerSays(2, b"hi 7")),
+        ("06192b6f0ea8d80100", ClientDisconnected(0x1D8A80E6F2B19)),
+        ("074d00000000000000", TimerFired(77)),
+        ("09020004006869 2037", PeerMessage(2, b"hi 7")),
         ("0a", codec.Crash()),
     ],
 )
@@ -82,42 +117,42 @@
 
 def test_published_finished_checked_sum_and_view() -> None:
     finished = one("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
-    assert isinstance(finished, i.Finished)
-    assert (finished.charged, finished.closed, finished.outcome) == (3, True, i.Outcome.OK)
-    assert (finished.metered, finished.attempt, finished.report) == (0x56, 0, ())
+    assert isinstance(finished, AttemptFinished)
+    assert (finished.charged_units, finished.request_closed, finished.outcome) == (3, True, Outcome.OK)
+    assert (finished.metered_usage, finished.attempt, finished.load_report) == (0x56, 0, ())
     checked = one("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
-    assert isinstance(checked, i.Probed)
-    assert checked.report == pytest.approx((3.0, 0.62, 7.0))
+    assert isinstance(checked, ProbeFinished)
+    assert checked.load_report == pytest.approx((3.0, 0.62, 7.0))
     counted = one("0b0090f68900000000000000184222fdf675e09c613f")
-    assert isinstance(counted, i.Counted) and (counted.name, counted.total) == (0x89F690, 38.0)
+    assert isinstance(counted, CounterReply) and (counted.name, counted.total) == (0x89F690, 38.0)
     view = one(
         "0201290000000000000002000000" "000000000000000000000100000000 00803f074a1203"
         "00006666666666661840010000000000c03ff211902c"
     )  # fmt: skip
-    assert isinstance(view, i.Members) and view.listing is i.Listing.CACHED and view.version == 41
-    assert view.entries[0] == i.Entry(0x03124A07, 0, 0.0, i.State.READY, 0, 0, 1.0)
-    assert (view.entries[1].started, view.entries[1].weight) == (6.1, 1.5)
+    assert isinstance(view, EndpointUpdate) and view.kind is UpdateKind.CACHED and view.version == 41
+    assert view.records[0] == EndpointRecord(0x03124A07, 0, 0.0, EndpointState.READY, 0, 0, 1.0)
+    assert (view.records[1].started_at, view.records[1].weight) == (6.1, 1.5)
 
 
 @pytest.mark.parametrize(
     ("action", "hexed"),
     [
-        (i.Cancel(0x893B25D3A91C4, 0), "04c4913a5db29308000000"),
-        (i.Refuse(0x1D8A80E6F2B19, 0.25), "02192b6f0ea8d80100000000000000d03f"),
-        (i.Fail(5), "030500000000000000"),
-        (i.Probe(0x2C9011F2), "06f211902c"),
-        (i.CloseIdle(0x2C9011F2), "07f211902c"),
-        (i.Tell(None, b"hi 7"), "08ffffffff040068692037"),
+        (Cancel(0x893B25D3A91C4, 0), "04c4913a5db29308000000"),
+        (Reject(0x1D8A80E6F2B19, 0.25), "02192b6f0ea8d80100000000000000d03f"),
+        (Fail(5), "030500000000000000"),
+        (Probe(0x2C9011F2), "06f211902c"),
+        (CloseIdle(0x2C9011F2), "07f211902c"),
+        (SendToPeers(None, b"hi 7"), "08ffffffff040068692037"),
         (
-            i.Count(0x89F690, 2.5, 4.0),
+            AddToCounter(0x89F690, 2.5, 4.0),
             "0d90f6890000000000000000000000044000008040"[:18] + "00000000000010400000 2040",
         ),
-        (i.Watch(True), "0b01"),
-        (i.Pull(), "0c"),
+        (WatchEndpoints(True), "0b01"),
+        (FetchEndpoints(), "0c"),
         (codec.Fault("index out of range"), "0a1200696e646578206f7574206f662072616e6765"),
     ],
 )
-def test_actions(action: i.Action | codec.Fault, hexed: str) -> None:
+def test_actions(action: Action | codec.Fault, hexed: str) -> None:
     assert codec.encode_action(action) == bytes.fromhex(hexed)
 
 
@@ -164,7 +199,7 @@
 def test_missing_settings_name_the_key_and_unknown_ones_are_skipped() -> None:
     with pytest.raises(SettingsError, match=r"rules\.fall_s"):
         parse_settings(text().replace("rules.fall_s", "rules.other"))
-    assert parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
+    assert parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].max_concurrency == 2
 
 
 def test_a_failing_module_is_reported_as_fault() -> None:
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -4,8 +4,19 @@
 
 from collections.abc import Iterable
 
-from gateway.policy import interface as i
-from gateway.policy.engine import Gateway
+from gateway.policy.actions import Action, AddToCounter, StartAttempt
+from gateway.policy.engine import Policy
+from gateway.policy.events import (
+    AttemptFinished,
+    CounterReply,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    Outcome,
+    Request,
+    UpdateKind,
+)
 from gateway.settings_parser import parse_settings
 
 BASE = {
@@ -60,22 +71,26 @@
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
 
-def entry(backend: int, *, cell: int = 0, started: float = 0.0, state: i.State = i.State.READY) -> i.Entry:
-    return i.Entry(backend, 0, started, state, 0, cell, 1.0)
+def entry(
+    backend: int, *, cell: int = 0, started: float = 0.0, state: EndpointState = EndpointState.READY
+) -> EndpointRecord:
+    return EndpointRecord(backend, 0, started, state, 0, cell, 1.0)
 
 
 def request(
     rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0, width: int = 3
-) -> i.Request:
-    return i.Request(rid, cls, plan, customer, left, 1.0, width, 0, False, False)
+) -> Request:
+    return Request(rid, cls, plan, customer, left, 1.0, width, 0, False, False)
 
 
-def done(rid: int, send: i.Send, outcome: i.Outcome, attempt: int = 0, closed: bool = False) -> i.Finished:
-    return i.Finished(rid, attempt, send.backend, outcome, closed, 0.1, 0, 0, ())
+def done(
+    rid: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
+) -> AttemptFinished:
+    return AttemptFinished(rid, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
 
 
-def sends(actions: Iterable[i.Action]) -> list[i.Send]:
-    return [a for a in actions if isinstance(a, i.Send)]
+def sends(actions: Iterable[Action]) -> list[StartAttempt]:
+    return [a for a in actions if isinstance(a, StartAttempt)]
 
 
 class Counter:
@@ -86,36 +101,36 @@
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
         self.calls = 0
-        self.outcome = i.Outcome.OK
+        self.outcome = Outcome.OK
         self.late = False
 
     def lose(self) -> None:
         self.totals.clear()
 
-    def answer(self, call: i.Count) -> i.Counted:
+    def answer(self, call: AddToCounter) -> CounterReply:
         self.calls += 1
-        if self.outcome is not i.Outcome.OK:
-            return i.Counted(call.name, self.outcome, 0.0, 0.05)
+        if self.outcome is not Outcome.OK:
+            return CounterReply(call.name, self.outcome, 0.0, 0.05)
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         if self.late:
-            return i.Counted(call.name, i.Outcome.TIMEOUT, 0.0, 0.05)
-        return i.Counted(call.name, i.Outcome.OK, self.totals[call.name], 0.001)
+            return CounterReply(call.name, Outcome.TIMEOUT, 0.0, 0.05)
+        return CounterReply(call.name, Outcome.OK, self.totals[call.name], 0.001)
 
 
-def gateway(backends: Iterable[i.Entry] = (), seed: int = 1, /, **changes: str) -> Gateway:
-    made = Gateway(parse_settings(text(**changes)), seed)
+def gateway(backends: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
+    made = Policy(parse_settings(text(**changes)), seed)
     listed = tuple(backends) or tuple(entry(n, cell=n % 2) for n in range(1, 7))
-    made.handle(START, i.Members(i.Listing.CACHED, 1, listed))
+    made.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
     return made
 
 
-def play(made: Gateway, counter: Counter, now: float, event: i.Event) -> list[i.Action]:
+def play(made: Policy, counter: Counter, now: float, event: Event) -> list[Action]:
     """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
     found = made.handle(now, event)
     at = 0
     while at < len(found):
         action = found[at]
         at += 1
-        if isinstance(action, i.Count):
+        if isinstance(action, AddToCounter):
             found = found + made.handle(now, counter.answer(action))
     return found
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from gateway.__main__ import FrontDoor
+from gateway.__main__ import GatewayProcess
 from gateway.config import Config, parse
-from gateway.frontend.listener import Server
-from gateway.policy import interface as i
-from gateway.policy.interface import Outcome
+from gateway.frontend.listener import Listener
+from gateway.policy.actions import Action, Fail, StartAttempt
+from gateway.policy.events import AttemptFinished, Event, Outcome, Request
 from tests.support.policy import BASE
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -219,7 +219,7 @@
 class Client:
     """A client's connection to a front door."""
 
-    def __init__(self, server: Server, customer: int = 5) -> None:
+    def __init__(self, server: Listener, customer: int = 5) -> None:
         self.customer = customer
         assert server.server is not None
         self.port = server.server.sockets[0].getsockname()[1]
@@ -266,12 +266,12 @@
 class Script:
     """Stands in for the module: `react` gives the actions for each event."""
 
-    def __init__(self, react: Callable[[Any], list[i.Action]]) -> None:
+    def __init__(self, react: Callable[[Any], list[Action]]) -> None:
         self.react = react
         self.events: list[Any] = []
-        self.actions: list[i.Action] = []
+        self.actions: list[Action] = []
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append(event)
         self.actions = []
         for action in self.react(event):
@@ -279,7 +279,7 @@
         return self.actions
 
     def outcomes(self) -> list[Outcome]:
-        return [e.outcome for e in self.events if isinstance(e, i.Finished)]
+        return [e.outcome for e in self.events if isinstance(e, AttemptFinished)]
 
     def of(self, kind: type) -> list[Any]:
         return [e for e in self.events if isinstance(e, kind)]
@@ -287,10 +287,10 @@
 
 @contextlib.asynccontextmanager
 async def front_door(
-    *dials: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
-) -> AsyncIterator[tuple[FrontDoor, Script]]:
+    *dials: str, react: Callable[[Any], list[Action]] | None = None, counter: str = "", **changes: str
+) -> AsyncIterator[tuple[GatewayProcess, Script]]:
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
-    door = FrontDoor(config(known, counter, **changes))
+    door = GatewayProcess(config(known, counter, **changes))
     door.list_wait = 0.0  # these have no discovery
     script = Script(react or (lambda event: []))
     if react is not None:
@@ -302,10 +302,10 @@
         await door.close()
 
 
-def send_on(event: Any) -> list[i.Action]:
+def send_on(event: Any) -> list[Action]:
     """Sends each request to the first backend and fails it when that did not serve."""
-    if isinstance(event, i.Request):
-        return [i.Send(event.request, FIRST, 0.0)]
-    if isinstance(event, i.Finished) and event.outcome is not Outcome.OK:
-        return [i.Fail(event.request)]
+    if isinstance(event, Request):
+        return [StartAttempt(event.request_id, FIRST, 0.0)]
+    if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
+        return [Fail(event.request_id)]
     return []
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -19,7 +19,7 @@
     texts = [path.read_text().splitlines() for path in POLICY]
     assert sum(1 for lines in texts for line in lines if line.strip()) <= MOST_LINES
     assert max(len(line) for lines in texts for line in lines) <= 110
-    assert "gateway/policy/interface.py" in texts[0][0]
+    assert "gateway/policy/{settings,events,actions}.py" in texts[0][0]
 
 
 def test_the_module_imports_the_standard_library_and_the_interface_only() -> None:
@@ -31,12 +31,12 @@
             names.add(node.module or "")
     outside = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names and n != "__future__"}
     own = {f"gateway.policy.{path.stem}" for path in POLICY}
-    assert outside <= {"gateway.policy.interface"} | own
+    assert outside <= {f"gateway.policy.{name}" for name in ("settings", "events", "actions")} | own
     assert not names & {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 
 def test_the_readme_example_runs() -> None:
-    from gateway.policy import interface as i
+    from gateway.policy.actions import StartAttempt
     from tests.support.policy import text
 
     (example,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
@@ -44,7 +44,7 @@
     exec(example, space)
     drive = space["drive"]
     assert callable(drive)
-    assert i.Send(1, 7, 0.0) in drive(text())
+    assert StartAttempt(1, 7, 0.0) in drive(text())
 
 
 def test_the_deploy_file_names_the_module() -> None:
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from gateway.policy import interface as i
-from gateway.policy.interface import Outcome
+from gateway.policy.actions import Action, Fail, StartAttempt
+from gateway.policy.events import AttemptFinished, ClientDisconnected, Outcome, Request
 from gateway.upstream import client as upstream
 from tests.support.sockets import (
     FIRST,
@@ -32,18 +32,18 @@
     return http_answer(body=message.headers["request-id"].encode())
 
 
-def in_turn() -> Callable[[Any], list[i.Action]]:
+def in_turn() -> Callable[[Any], list[Action]]:
     """Sends one request at a time: the next goes out with the news of the last one's end."""
     waiting: list[int] = []
 
-    def react(event: Any) -> list[i.Action]:
-        if isinstance(event, i.Request):
-            waiting.append(event.request)
-            return [i.Send(event.request, FIRST, 0.0)] if len(waiting) == 1 else []
-        if isinstance(event, i.Finished):
+    def react(event: Any) -> list[Action]:
+        if isinstance(event, Request):
+            waiting.append(event.request_id)
+            return [StartAttempt(event.request_id, FIRST, 0.0)] if len(waiting) == 1 else []
+        if isinstance(event, AttemptFinished):
             waiting.pop(0)
-            following: list[i.Action] = [i.Send(waiting[0], FIRST, 0.0)] if waiting else []
-            return following if event.outcome is Outcome.OK else [i.Fail(event.request), *following]
+            following: list[Action] = [StartAttempt(waiting[0], FIRST, 0.0)] if waiting else []
+            return following if event.outcome is Outcome.OK else [Fail(event.request_id), *following]
         return []
 
     return react
@@ -152,8 +152,8 @@
                 assert (await client.ask(Request_Id="one")).body == b"one"
                 client.writer.write(client.request(2, Request_Id="two"))
                 await until(lambda: door.host.upstream.pools[FIRST].waiting)
-            await until(lambda: script.of(i.Left))
-            assert script.outcomes() == [Outcome.OK, Outcome.MOOT]
+            await until(lambda: script.of(ClientDisconnected))
+            assert script.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
             async with Client(door.server) as client:
                 assert (await client.ask(Request_Id="three")).body == b"three"
             assert [m.headers["request-id"] for m in backend.seen] == ["one", "three"]
@@ -188,8 +188,8 @@
             assert (await client.ask()).status == 502
             # Not RESET, which keeps the module off a backend: spoilt answers come from well ones.
             assert script.outcomes() == [Outcome.ERROR] and not Outcome.ERROR.never_ran
-            (finished,) = script.of(i.Finished)
-            assert finished.spent < 2  # it does not hang until the client's time is nearly up
+            (finished,) = script.of(AttemptFinished)
+            assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
             await until(lambda: not backend.open)
 
     run(test())
@@ -216,7 +216,7 @@
             for _ in range(2):
                 served = await client.ask()
                 assert (served.status, served.body) == (200, b"done")
-            assert [e.report for e in script.of(i.Finished)] == [(), ()]
+            assert [e.load_report for e in script.of(AttemptFinished)] == [(), ()]
             assert backend.opened == 1  # the connection goes on being used
 
     run(test())
