--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -58,29 +58,32 @@
         self.config = config
         settings = config.settings
         upstream = UpstreamClient(
-            settings.limits.connect_timeout, config.conn_idle, settings.report_columns, config.bounds.upstream
+            settings.limits.connect_timeout,
+            config.endpoint_idle_timeout,
+            settings.report_columns,
+            config.resource_limits.max_upstream,
         )
-        host = self.host = PolicyDriver(Policy(settings, config.seed), upstream)
+        host = self.driver = PolicyDriver(Policy(settings, config.seed), upstream)
         if settings.has_counter and config.counter is not None:
-            host.counter = CounterClient(config.counter, settings.counter_timeout, host.post)
-        names = EndpointDecoder(settings.zones, config.kinds)
-        if config.known:
+            host.counter = CounterClient(config.counter, settings.counter_timeout, host.deliver)
+        names = EndpointDecoder(settings.zones, config.machine_types)
+        if config.cached_endpoints:
             try:
-                members, addresses = names.members(config.known, cached=True)
+                members, addresses = names.decode_update(config.cached_endpoints, cached=True)
             except (KeyError, TypeError, ValueError) as error:
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
-            host.members(members, addresses)
-        self.discovery = DiscoveryClient(config.discovery, names, host.members)
-        self.list_wait = LIST_WAIT
-        self.server = Listener(config, host)
+            host.apply_endpoint_update(members, addresses)
+        self.discovery = DiscoveryClient(config.discovery, names, host.apply_endpoint_update)
+        self.endpoint_list_timeout = LIST_WAIT
+        self.listener = Listener(config, host)
         # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
-        self.drain_time = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
+        self.drain_timeout = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
 
     async def start(self) -> None:
-        if self.host.counter is not None:
-            await asyncio.wait([self.host.counter.ready], timeout=COUNTER_WAIT)
-        await asyncio.wait([self.discovery.told], timeout=self.list_wait)
-        await self.server.start()
+        if self.driver.counter is not None:
+            await asyncio.wait([self.driver.counter.ready], timeout=COUNTER_WAIT)
+        await asyncio.wait([self.discovery.first_update], timeout=self.endpoint_list_timeout)
+        await self.listener.start()
 
     def reload(self, env: Mapping[str, str]) -> None:
         """Go over to the addresses that the file names now; a file that cannot be served changes nothing."""
@@ -93,35 +96,37 @@
             return
         if (config.settings, config.listen) != (self.config.settings, self.config.listen):
             log.warning("other settings or another address to listen on need a restart")
-        self.discovery.move(config.discovery)
-        if self.host.counter is not None and config.counter is not None:
-            self.host.counter.move(config.counter)
+        self.discovery.change_address(config.discovery)
+        if self.driver.counter is not None and config.counter is not None:
+            self.driver.counter.change_address(config.counter)
 
     async def drain(self) -> None:
         """Serve on while clients still come, then finish what is held, in time for all of it."""
         began = time.monotonic()
         await asyncio.sleep(LINGER)
-        self.server.stop_listening()
+        self.listener.stop_listening()
         # A request that is half here is served too: once its end is written it counts as taken.
-        while (self.host.waiting or self.server.arriving()) and time.monotonic() - began < self.drain_time:
+        while (
+            self.driver.unanswered or self.listener.has_incoming_requests()
+        ) and time.monotonic() - began < self.drain_timeout:
             await asyncio.sleep(0.01)
-        self.host.answer_all()
-        self.server.finish()
+        self.driver.answer_open_requests()
+        self.listener.reject_incomplete_requests()
         # The last answers leave and are read; who does not close behind one is waited for only so long.
-        kept_until, last = time.monotonic() + FLUSH, began + self.drain_time + FLUSH
-        while self.server.clients and (now := time.monotonic()) < last:
-            if now > kept_until and not self.server.unflushed():
+        kept_until, last = time.monotonic() + FLUSH, began + self.drain_timeout + FLUSH
+        while self.listener.connections and (now := time.monotonic()) < last:
+            if now > kept_until and not self.listener.has_unsent_responses():
                 break
             await asyncio.sleep(0.01)
         await self.close()
 
     async def close(self) -> None:
-        self.server.close()
+        self.listener.close()
         await asyncio.sleep(0)  # what is closed is let go
         self.discovery.close()
-        if self.host.counter is not None:
-            self.host.counter.close()
-        self.host.upstream.close()
+        if self.driver.counter is not None:
+            self.driver.counter.close()
+        self.driver.upstream.close()
 
 
 async def serve(env: Mapping[str, str]) -> None:
--- a/gateway/config.py
+++ b/gateway/config.py
@@ -27,16 +27,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class ResourceLimits:
     """What the process may hold, from the configuration's limits."""
 
-    clients: int  # client connections
-    surplus: int  # and above those, that are still answered, with a refusal
-    upstream: int  # connections to backends
-    held: int  # bytes of requests' bodies
+    max_clients: int  # client connections
+    surplus_clients: int  # and above those, that are still answered, with a refusal
+    max_upstream: int  # connections to backends
+    max_buffered_bytes: int  # bytes of requests' bodies
 
     @classmethod
-    def of(cls, sockets: int, memory_mb: float) -> Bounds:
+    def of(cls, sockets: int, memory_mb: float) -> ResourceLimits:
         surplus = max(8, sockets // 16)
         left = sockets - OTHER_SOCKETS - surplus
         return cls(left // 2, surplus, left - left // 2, int(memory_mb * HELD_PART * (1 << 20)))
@@ -49,12 +49,14 @@
     discovery: Address
     counter: Address | None
     seed: int
-    bounds: Bounds
-    most_units: float  # of one request
-    known: dict[str, Any]  # the list of backends as this front door last had it, in discovery's form
+    resource_limits: ResourceLimits
+    max_request_units: float  # of one request
+    cached_endpoints: dict[
+        str, Any
+    ]  # the list of backends as this front door last had it, in discovery's form
     settings: Settings
-    kinds: tuple[str, ...]
-    conn_idle: float  # seconds after which a backend closes an idle connection
+    machine_types: tuple[str, ...]
+    endpoint_idle_timeout: float  # seconds after which a backend closes an idle connection
 
 
 def parse_address(text: object) -> Address:
@@ -110,12 +112,12 @@
             discovery=parse_address(discovery),
             counter=parse_address(raw["counter"]) if raw.get("counter") else None,
             seed=int(str(raw["seed"]), 16),
-            bounds=Bounds.of(sockets, memory_mb),
-            most_units=float(nested["extra"].get("most_units", "inf")),
-            known=known,
+            resource_limits=ResourceLimits.of(sockets, memory_mb),
+            max_request_units=float(nested["extra"].get("most_units", "inf")),
+            cached_endpoints=known,
             settings=settings,
-            kinds=tuple(map(plain, kinds if isinstance(kinds, list) else [kinds])),
-            conn_idle=float(nested["caps"]["conn_idle_s"]),
+            machine_types=tuple(map(plain, kinds if isinstance(kinds, list) else [kinds])),
+            endpoint_idle_timeout=float(nested["caps"]["conn_idle_s"]),
         )
     except KeyError as error:
         raise ConfigError(f"missing {error}") from None
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -43,8 +43,10 @@
 
     def __init__(self, owner: CounterClient, address: Address) -> None:
         self.owner, self.address = owner, address
-        self.before: CounterConnection | None = None  # whose place this one took and whose calls come first
-        self.heir: CounterConnection | None = None  # that took this one's place
+        self.predecessor: CounterConnection | None = (
+            None  # whose place this one took and whose calls come first
+        )
+        self.successor: CounterConnection | None = None  # that took this one's place
         self.transport: asyncio.Transport | None = None
         self.calls: deque[CounterCall] = deque()  # written
         self.held: deque[CounterCall] = deque()  # to be written once the connection is up
@@ -75,7 +77,7 @@
         """Whether a call may be written now.  Not before those at the old counter have ended: the answers
         for one name are told in the order of its calls.
         """
-        return self.transport is not None and not self.transport.is_closing() and self.before is None
+        return self.transport is not None and not self.transport.is_closing() and self.predecessor is None
 
     def flush(self) -> None:
         while self.held and self.open():
@@ -101,27 +103,27 @@
         else:
             # It keeps its place in `calls`: its late answer must not be taken for the next call's.
             self.owner.settle(call, Outcome.TIMEOUT)
-        self.retire()
+        self.close_when_drained()
 
-    def give_way(self, heir: CounterConnection) -> None:
+    def hand_over_to(self, heir: CounterConnection) -> None:
         """Another line takes this one's place: what is out here ends here, what was not written moves."""
-        self.heir, heir.before = heir, self
+        self.successor, heir.predecessor = heir, self
         heir.held, self.held = self.held, deque()
         for call in heir.held:
             call.line = heir
-        self.retire()
+        self.close_when_drained()
 
-    def retire(self) -> None:
+    def close_when_drained(self) -> None:
         """Once its calls have ended, a line that gave way lets its heir write, and ends."""
-        if self.heir is not None and all(call.settled for call in self.calls):
-            heir, self.heir = self.heir, None
-            heir.before = None
+        if self.successor is not None and all(call.settled for call in self.calls):
+            heir, self.successor = self.successor, None
+            heir.predecessor = None
             if self.transport is not None:
                 self.transport.abort()
             heir.flush()
 
     def current(self) -> bool:
-        return self in self.owner.lines or self in self.owner.coming
+        return self in self.owner.connections or self in self.owner.replacements
 
     # --- connection --------------------------------------------------------------------------------
 
@@ -175,7 +177,7 @@
             # Which of several calls the unsent bytes belong to is not known; only one alone is certain.
             alone = self.unsent and len(calls) == 1
             self.owner.settle(call, Outcome.CONNECT_FAILED if alone else Outcome.TIMEOUT)
-        self.retire()
+        self.close_when_drained()
         self.connect()
 
     def data_received(self, data: bytes) -> None:
@@ -194,7 +196,7 @@
             log.warning("counter: %s", error)
             if self.transport is not None:
                 self.transport.abort()
-        self.retire()
+        self.close_when_drained()
 
     def answer(self, call: CounterCall, reply: Any) -> None:
         """Settle one call.  An answer that is none raises: it is not known what the next ones belong to."""
@@ -224,16 +226,16 @@
     """Calls by name: those of one name share a connection, so their answers come in their order."""
 
     def __init__(self, address: Address, timeout: float, done: Callable[[CounterReply], None]) -> None:
-        self.timeout, self.done = timeout, done
+        self.timeout, self.on_reply = timeout, done
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
         self.expiring: deque[CounterCall] = deque()  # all wait equally long: oldest first
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
         self.ready = self.loop.create_future()  # done once a first connection is up or was refused
-        self.lines = [CounterConnection(self, address) for _ in range(LINES)]
-        self.coming: list[CounterConnection] = []  # to another address: each takes over once it is up
-        for line in self.lines:
+        self.connections = [CounterConnection(self, address) for _ in range(LINES)]
+        self.replacements: list[CounterConnection] = []  # to another address: each takes over once it is up
+        for line in self.connections:
             line.connect()
         self.watch = self.loop.call_later(PING_AFTER / 2, self.look)
 
@@ -241,27 +243,30 @@
         if not self.ready.done():
             self.ready.set_result(None)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Call at another address.  The old lines go on until the new ones are up, one by one."""
-        if address == (self.coming or self.lines)[-1].address:
+        if address == (self.replacements or self.connections)[-1].address:
             return
-        dropped, self.coming = self.coming, [CounterConnection(self, address) for _ in range(LINES)]
+        dropped, self.replacements = (
+            self.replacements,
+            [CounterConnection(self, address) for _ in range(LINES)],
+        )
         for line in dropped:
-            if line.transport is not None and line not in self.lines:
+            if line.transport is not None and line not in self.connections:
                 line.transport.abort()
-        for line in self.coming:
+        for line in self.replacements:
             line.connect()
 
     def connected(self, line: CounterConnection) -> None:
-        if line in self.coming:
-            place = self.coming.index(line)
-            old, self.lines[place] = self.lines[place], line
-            old.give_way(line)
-            if all(up.address == line.address for up in self.lines):
-                self.coming = []
+        if line in self.replacements:
+            place = self.replacements.index(line)
+            old, self.connections[place] = self.connections[place], line
+            old.hand_over_to(line)
+            if all(up.address == line.address for up in self.connections):
+                self.replacements = []
 
     def add(self, count: AddToCounter) -> None:
-        self.lines[count.name % LINES].call(count, time.monotonic())
+        self.connections[count.name % LINES].call(count, time.monotonic())
         if self.timer is None and self.expiring:
             self.timer = self.loop.call_later(self.timeout, self.expire)
 
@@ -280,11 +285,11 @@
     def settle(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
         if not call.settled and call.count is not None:
             call.settled = True
-            self.done(CounterReply(call.count.name, outcome, total, time.monotonic() - call.began))
+            self.on_reply(CounterReply(call.count.name, outcome, total, time.monotonic() - call.began))
 
     def look(self) -> None:
         now = time.monotonic()
-        for line in self.lines:
+        for line in self.connections:
             line.look(now)
         self.watch = self.loop.call_later(PING_AFTER / 2, self.look)
 
@@ -295,6 +300,6 @@
             self.timer.cancel()
         for task in self.tasks:
             task.cancel()
-        for line in [*self.lines, *self.coming]:
+        for line in [*self.connections, *self.replacements]:
             if line.transport is not None:
                 line.transport.abort()
--- a/gateway/discovery/client.py
+++ b/gateway/discovery/client.py
@@ -46,26 +46,26 @@
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: number for number, name in enumerate(zones)}
-        self.kinds = {name: number for number, name in enumerate(kinds)}
-        self.hosts: dict[int, str] = {}  # two names with one id would be taken for one backend
+        self.machine_types = {name: number for number, name in enumerate(kinds)}
+        self.host_names: dict[int, str] = {}  # two names with one id would be taken for one backend
 
-    def entry(self, raw: Any) -> tuple[EndpointRecord, Address]:
+    def decode_record(self, raw: Any) -> tuple[EndpointRecord, Address]:
         state = STATES[raw["health"]]
         name = str(raw["host"])
         number = backend_id(name)
-        if self.hosts.setdefault(number, name) != name:
-            raise ValueError(f"{name} has the id of {self.hosts[number]}")
+        if self.host_names.setdefault(number, name) != name:
+            raise ValueError(f"{name} has the id of {self.host_names[number]}")
         return EndpointRecord(
             endpoint_id=number,
             zone=self.zones[plain(raw["site"])],
             started_at=float(raw["born_ms"]) / 1000,
             state=state,
-            machine_type=self.kinds[plain(raw["class"])],
+            machine_type=self.machine_types[plain(raw["class"])],
             cell=int(raw["block"]),
             weight=float(raw["share"]),
         ), parse_address(raw["dial"])
 
-    def members(self, raw: Any, cached: bool = False) -> tuple[EndpointUpdate, dict[int, Address]]:
+    def decode_update(self, raw: Any, cached: bool = False) -> tuple[EndpointUpdate, dict[int, Address]]:
         """One line as a list or a change; entries that make no sense are logged and left out."""
         if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
             raise ValueError("not a list of hosts")
@@ -73,22 +73,22 @@
             UpdateKind.CACHED if cached else UpdateKind.SNAPSHOT if raw.get("whole") else UpdateKind.DELTA
         )
         version = int(raw["seq"])
-        known = self.hosts
+        known = self.host_names
         if listing is not UpdateKind.DELTA:
-            self.hosts = {}
+            self.host_names = {}
         entries, addresses = [], {}
         for item in raw["hosts"]:
             try:
-                entry, address = self.entry(item)
+                entry, address = self.decode_record(item)
             except (ConfigError, KeyError, TypeError, ValueError) as error:
                 log.warning("discovery: entry skipped: %s: %s", type(error).__name__, error)
                 continue
             entries.append(entry)
             addresses[entry.endpoint_id] = address
             if entry.state is EndpointState.GONE:
-                del self.hosts[entry.endpoint_id]  # ids are ever new: kept ones would pile up
+                del self.host_names[entry.endpoint_id]  # ids are ever new: kept ones would pile up
         if raw["hosts"] and not entries and listing is not UpdateKind.DELTA:
-            self.hosts = known
+            self.host_names = known
             raise ValueError("no entry can be read")  # must not empty the fleet
         return EndpointUpdate(listing, version, tuple(entries)), addresses
 
@@ -246,7 +246,7 @@
 
     def read(self, document: bytes) -> tuple[EndpointUpdate, dict[int, Address]] | None:
         try:
-            return self.owner.names.members(json.loads(document))
+            return self.owner.decoder.decode_update(json.loads(document))
         except (KeyError, TypeError, ValueError, RecursionError) as error:
             log.warning("discovery: list skipped: %s: %s", type(error).__name__, error)
             return None
@@ -266,7 +266,7 @@
 
     def change(self, watch: WatchConnection, document: bytes) -> bool:
         """Tell of what comes on the watch; false for what cannot be read or is older than what is known."""
-        if watch is not self.watch or self is not self.owner.sources[0]:
+        if watch is not self.watch or self is not self.owner.agent_watches[0]:
             return True  # another has taken over
         told = self.read(document)
         if told is None:
@@ -298,27 +298,27 @@
     """Keeps a watch open and tells of every list and change."""
 
     def __init__(self, address: Address, names: EndpointDecoder, heard: EndpointListener) -> None:
-        self.names, self.heard = names, heard
+        self.decoder, self.on_update = names, heard
         self.loop = asyncio.get_running_loop()
-        self.told: asyncio.Future[None] = self.loop.create_future()  # done once a first list has come
-        self.sources = [AgentWatch(self, address)]  # the one in use, then one that is to take over
+        self.first_update: asyncio.Future[None] = self.loop.create_future()  # done once a first list has come
+        self.agent_watches = [AgentWatch(self, address)]  # the one in use, then one that is to take over
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch another address.  The list stays, and the old watch is heard, until a whole list comes."""
-        if address != self.sources[-1].address:
-            for source in self.sources[1:]:
+        if address != self.agent_watches[-1].address:
+            for source in self.agent_watches[1:]:
                 source.close()
-            self.sources[1:] = [AgentWatch(self, address)]
+            self.agent_watches[1:] = [AgentWatch(self, address)]
 
     def takes_over(self, source: AgentWatch) -> None:
-        while self.sources[0] is not source:
-            self.sources.pop(0).close()
+        while self.agent_watches[0] is not source:
+            self.agent_watches.pop(0).close()
 
     def tell(self, members: EndpointUpdate, addresses: dict[int, Address]) -> None:
-        self.heard(members, addresses)
-        if not self.told.done():
-            self.told.set_result(None)
+        self.on_update(members, addresses)
+        if not self.first_update.done():
+            self.first_update.set_result(None)
 
     def close(self) -> None:
-        for source in self.sources:
+        for source in self.agent_watches:
             source.close()
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -73,9 +73,9 @@
     def release(self) -> None:
         """The request is over, also at the backends: what was kept for it is let go."""
         server = self.client.server
-        server.held -= self.held
+        server.buffered_bytes -= self.held
         self.held = 0
-        server.ids.discard(self.request_id)
+        server.open_request_ids.discard(self.request_id)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -118,14 +118,14 @@
         transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
         self.transport = transport
         self.signs.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
-        self.stand(self.server.fresh)
+        self.stand(self.server.new_connections)
         self.server.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
         self.stand(None)
-        self.server.clients.discard(self)
-        self.server.unheard.discard(self)
+        self.server.connections.discard(self)
+        self.server.write_blocked.discard(self)
         self.let_go()
         self.leave()
 
@@ -135,17 +135,17 @@
         """
         self.broken, self.arriving = True, False
         self.leave()
-        self.stand(self.server.ended)  # it has as long to read as behind any last answer
+        self.stand(self.server.half_closed)  # it has as long to read as behind any last answer
 
     def leave(self) -> None:
         """Nobody waits any more for what has no answer yet."""
         pending, self.pending = self.pending, deque()
         for exchange in pending:
             if exchange.request is not None:
-                self.server.host.left(exchange.request)
+                self.server.driver.client_disconnected(exchange.request)
 
     def let_go(self) -> None:
-        self.server.held -= self.held
+        self.server.buffered_bytes -= self.held
         self.held, self.body = 0, []
 
     # --- reading -----------------------------------------------------------------------------------
@@ -177,8 +177,8 @@
             raise BadRequestError("nothing more is read here")
         self.clear()
         self.began, self.arriving = time.monotonic(), True
-        if self.standing is self.server.idle:
-            self.stand(self.server.coming)
+        if self.standing is self.server.idle_connections:
+            self.stand(self.server.receiving)
 
     def count(self, size: int) -> None:
         self.head += size
@@ -204,10 +204,10 @@
 
     def on_body(self, body: bytes) -> None:
         self.held += len(body)
-        self.server.held += len(body)
+        self.server.buffered_bytes += len(body)
         if self.held > MOST_BODY:
             raise BadRequestError("body too large", 413)
-        if self.server.held > self.server.most_held:
+        if self.server.buffered_bytes > self.server.max_buffered_bytes:
             raise BadRequestError("too much is held", 503)  # nothing has run: memory is bounded
         self.body.append(body)
 
@@ -236,17 +236,17 @@
     def take(self, exchange: Exchange) -> None:
         server = self.server
         if self.url == b"/-/ready":
-            exchange.reply(Response(200 if server.ready() else 503))
+            exchange.reply(Response(200 if server.is_ready() else 503))
             return
-        if len(server.clients) > server.most_clients:
+        if len(server.connections) > server.max_connections:
             exchange.keep_alive = False
             exchange.reply(Response(503, retry_after=1.0))
             return
         method = self.parser.get_method()
-        terms = server.terms.read(method, self.url, self.headers)
-        if terms.request_id in server.ids:
+        terms = server.metadata_parser.parse(method, self.url, self.headers)
+        if terms.request_id in server.open_request_ids:
             raise BadRequestError("this Request-Id is open", 409)
-        server.ids.add(terms.request_id)
+        server.open_request_ids.add(terms.request_id)
         exchange.request_id = terms.request_id
         exchange.held, self.held = self.held, 0
         end = self.began + terms.timeout
@@ -262,11 +262,11 @@
 
         def make(request: int) -> Request:
             return Request(
-                request, terms.cls, terms.plan, terms.customer, end - time.monotonic(), terms.units,
-                terms.spread, terms.first, terms.is_retry, method == b"POST",
+                request, terms.class_index, terms.plan_index, terms.customer, end - time.monotonic(),
+                terms.units, terms.gateway_set_size, terms.first_gateway, terms.is_retry, method == b"POST",
             )  # fmt: skip
 
-        exchange.request = server.host.request(make, end, payload, exchange.reply, exchange.release)
+        exchange.request = server.driver.submit(make, end, payload, exchange.reply, exchange.release)
 
     # --- writing -----------------------------------------------------------------------------------
 
@@ -284,16 +284,16 @@
                 self.end()
                 return
         if not self.pending and self.standing is None:
-            self.stand(self.server.coming if self.arriving else self.server.idle)
+            self.stand(self.server.receiving if self.arriving else self.server.idle_connections)
 
     def pause_writing(self) -> None:
         """Answers that a client does not read must not pile up here: no further requests until it does."""
         if self.transport is not None:
             self.transport.pause_reading()
-            self.server.unheard.add(self)
+            self.server.write_blocked.add(self)
 
     def resume_writing(self) -> None:
-        self.server.unheard.discard(self)
+        self.server.write_blocked.discard(self)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
@@ -313,7 +313,7 @@
         self.broken = True
         if self.transport is not None:
             self.transport.write_eof()
-            self.stand(self.server.ended)
+            self.stand(self.server.half_closed)
             self.leave()  # pipelined behind a last one
 
     def abort(self) -> None:
@@ -333,54 +333,60 @@
 
 class Listener:
     def __init__(self, config: Config, host: PolicyDriver) -> None:
-        self.settings, self.host = config.settings, host
+        self.settings, self.driver = config.settings, host
         self.listen = config.listen
-        self.most_clients, self.surplus = config.bounds.clients, config.bounds.surplus
-        self.most_held = config.bounds.held  # bytes of bodies; beyond it requests are refused
+        self.max_connections, self.surplus_connections = (
+            config.resource_limits.max_clients,
+            config.resource_limits.surplus_clients,
+        )
+        self.max_buffered_bytes = (
+            config.resource_limits.max_buffered_bytes
+        )  # bytes of bodies; beyond it requests are refused
         self.loop = asyncio.get_running_loop()
-        self.terms = RequestMetadataParser(config.settings, config.most_units)
-        self.clients: set[ClientConnection] = set()
+        self.metadata_parser = RequestMetadataParser(config.settings, config.max_request_units)
+        self.connections: set[ClientConnection] = set()
         # Waiting lines, the longest wait first: before a first request is whole, between requests, while
         # one comes in, and after the last answer.  Who waits for an answer is in none.
-        self.fresh: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.idle: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.coming: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.ended: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.unheard: set[ClientConnection] = set()  # those not read, as they do not read their answers
-        self.ids: set[bytes] = set()  # of requests that are open
-        self.held = 0
+        self.new_connections: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.idle_connections: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.receiving: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.half_closed: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.write_blocked: set[ClientConnection] = set()  # those not read, as they do not read their answers
+        self.open_request_ids: set[bytes] = set()  # of requests that are open
+        self.buffered_bytes = 0
         self.stopping = False
-        self.server: asyncio.Server | None = None
-        self.timer = self.loop.call_later(SWEEP, self.sweep)
-        self.hearing = self.loop.call_later(LEFT_EVERY, self.hear_leaves)
+        self.socket_server: asyncio.Server | None = None
+        self.timer = self.loop.call_later(SWEEP, self.close_overdue_connections)
+        self.hearing = self.loop.call_later(LEFT_EVERY, self.detect_disconnects)
 
     async def start(self) -> None:
-        self.server = await self.loop.create_server(
+        self.socket_server = await self.loop.create_server(
             lambda: ClientConnection(self), self.listen.host, self.listen.port, backlog=1024
         )
 
-    def ready(self) -> bool:
-        return not self.stopping and bool(self.host.upstream.pools)
+    def is_ready(self) -> bool:
+        return not self.stopping and bool(self.driver.upstream.pools)
 
     def add(self, client: ClientConnection) -> None:
-        self.clients.add(client)
-        if len(self.clients) <= self.most_clients:
+        self.connections.add(client)
+        if len(self.connections) <= self.max_connections:
             return
         # Descriptors are bounded: one without a request gives way.  With none the new one is answered with
         # a refusal, as ending it at once could fail a request.
         victim = self.victim(client)
-        if victim is None and len(self.clients) > self.most_clients + self.surplus:
+        if victim is None and len(self.connections) > self.max_connections + self.surplus_connections:
             victim = client
         if victim is not None:
-            self.clients.discard(victim)
+            self.connections.discard(victim)
             victim.abort()
 
     def victim(self, newest: ClientConnection) -> ClientConnection | None:
         """Whose connection is missed least; one that has just been opened may be about to ask."""
         now = time.monotonic()
         choices = (
-            (self.ended, SILENT_AFTER), (self.fresh, SILENT_AFTER), (self.idle, SETTLED_AFTER),
-            (self.ended, 0.0), (self.idle, 0.0), (self.fresh, 0.0),
+            (self.half_closed, SILENT_AFTER), (self.new_connections, SILENT_AFTER),
+            (self.idle_connections, SETTLED_AFTER),
+            (self.half_closed, 0.0), (self.idle_connections, 0.0), (self.new_connections, 0.0),
         )  # fmt: skip
         for line, least in choices:
             first = next(iter(line), None)
@@ -391,29 +397,29 @@
                     return first
         return None
 
-    def sweep(self) -> None:
+    def close_overdue_connections(self) -> None:
         """End who has waited too long: says nothing, drips, stands idle or does not read."""
         late = BadRequestError("the request did not come whole", 408)
-        for line, most in ((self.fresh, READ_TIMEOUT), (self.coming, READ_TIMEOUT)):
+        for line, most in ((self.new_connections, READ_TIMEOUT), (self.receiving, READ_TIMEOUT)):
             for client in self.overdue(line, most):
                 # Bytes that came without a request, such as empty lines, are owed an answer too.
                 client.reject(late) if client.arriving or client.stray else client.abort()
         # Room is made before it is needed: a burst of new ones must not end those that are about to ask.
-        idle_most = IDLE_TIMEOUT if len(self.clients) < self.most_clients / 2 else SETTLED_AFTER
-        for line, most in ((self.idle, idle_most), (self.ended, LINGER)):
+        idle_most = IDLE_TIMEOUT if len(self.connections) < self.max_connections / 2 else SETTLED_AFTER
+        for line, most in ((self.idle_connections, idle_most), (self.half_closed, LINGER)):
             for client in self.overdue(line, most):
                 if client.unread():
-                    client.stand(self.idle)
+                    client.stand(self.idle_connections)
                 else:
                     client.abort()  # a close would wait for a client that never reads its last answer
-        self.timer = self.loop.call_later(SWEEP, self.sweep)
+        self.timer = self.loop.call_later(SWEEP, self.close_overdue_connections)
 
-    def hear_leaves(self) -> None:
+    def detect_disconnects(self) -> None:
         """Hear who has left while it is not read: its end of sending stands behind bytes that wait."""
-        for client in [client for client in self.unheard if client.sign(select.POLLRDHUP)]:
-            self.unheard.discard(client)
+        for client in [client for client in self.write_blocked if client.sign(select.POLLRDHUP)]:
+            self.write_blocked.discard(client)
             client.eof_received()
-        self.hearing = self.loop.call_later(LEFT_EVERY, self.hear_leaves)
+        self.hearing = self.loop.call_later(LEFT_EVERY, self.detect_disconnects)
 
     def overdue(self, line: OrderedDict[ClientConnection, None], most: float) -> Iterator[ClientConnection]:
         before = time.monotonic() - most
@@ -424,27 +430,27 @@
     def stop_listening(self) -> None:
         """No new connections; those that stand idle are closed, the others after their answers."""
         self.stopping = True
-        if self.server is not None:
-            self.server.close()
-        for client in [*self.idle, *self.fresh]:
+        if self.socket_server is not None:
+            self.socket_server.close()
+        for client in [*self.idle_connections, *self.new_connections]:
             if client.transport is not None and not client.arriving and not client.unread():
                 client.transport.close()
 
-    def arriving(self) -> bool:
+    def has_incoming_requests(self) -> bool:
         """Whether part of a request has come that is not whole, or bytes that are not read yet."""
-        lines = (self.coming, self.fresh, self.idle)
+        lines = (self.receiving, self.new_connections, self.idle_connections)
         return any(client.arriving or client.unread() for line in lines for client in line)
 
-    def unflushed(self) -> bool:
+    def has_unsent_responses(self) -> bool:
         """Whether part of an answer still waits in this process."""
-        return any(c.transport is not None and c.transport.get_write_buffer_size() for c in self.clients)
+        return any(c.transport is not None and c.transport.get_write_buffer_size() for c in self.connections)
 
-    def finish(self) -> None:
+    def reject_incomplete_requests(self) -> None:
         """The process is about to end: half a request gets an answer too, and whoever has its last answer is
         read on until it closes, as a reset on unread bytes could overtake that.
         """
         late = BadRequestError("the front door ends", 503)
-        for client in list(self.clients):
+        for client in list(self.connections):
             if client.arriving or client.unread():
                 client.reject(late)
             elif not client.broken and not client.pending and client.transport is not None:
@@ -453,6 +459,6 @@
     def close(self) -> None:
         self.timer.cancel()
         self.hearing.cancel()
-        for client in list(self.clients):
+        for client in list(self.connections):
             if client.transport is not None:
                 client.transport.close()
--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -33,13 +33,13 @@
 @dataclass(slots=True, frozen=True)
 class RequestMetadata:
     request_id: bytes
-    cls: int
-    plan: int
+    class_index: int
+    plan_index: int
     customer: int
     timeout: float  # seconds
     units: float
-    spread: int
-    first: int
+    gateway_set_size: int
+    first_gateway: int
     is_retry: bool
 
 
@@ -87,10 +87,10 @@
         self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans)}
 
-    def read(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestMetadata:
+    def parse(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestMetadata:
         headers = dict(fields)
         if len(headers) != len(fields):
-            self.no_repeats(fields)
+            self.reject_repeated_headers(fields)
         found = TARGET.fullmatch(target)
         if found is None or (b"/." in found[1] and {b".", b".."} & set(found[1].split(b"/"))):
             raise BadRequestError("malformed target")
@@ -128,7 +128,7 @@
         is_retry = headers.get(b"client-retry") == b"1"
         return RequestMetadata(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
 
-    def no_repeats(self, fields: list[tuple[bytes, bytes]]) -> None:
+    def reject_repeated_headers(self, fields: list[tuple[bytes, bytes]]) -> None:
         """A header that counts and stands twice could be read differently here and at a backend."""
         seen = set()
         for name, _ in fields:
--- a/gateway/policy_driver.py
+++ b/gateway/policy_driver.py
@@ -38,7 +38,7 @@
     TimerFired,
     UpdateKind,
 )
-from gateway.upstream.client import Attempt, Result, UpstreamClient
+from gateway.upstream.client import Attempt, AttemptResult, UpstreamClient
 
 ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
 GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
@@ -60,79 +60,79 @@
 class OpenRequest:
     """A request that still needs an answer, or whose attempts are still out."""
 
-    number: int
-    payload: Callable[[float], bytes]  # what goes to a backend, given the time that is left
-    reply: Callable[[Response], None]
-    over: Callable[[], None]  # hears when it is answered and none of its attempts is out
-    end: float  # monotonic time at which its client gives up
-    guard: asyncio.TimerHandle | None = None
-    out: dict[int, Attempt] = field(default_factory=dict)
-    sent: int = 0
+    request_id: int
+    encode_for_endpoint: Callable[[float], bytes]  # what goes to a backend, given the time that is left
+    on_response: Callable[[Response], None]
+    on_released: Callable[[], None]  # hears when it is answered and none of its attempts is out
+    deadline: float  # monotonic time at which its client gives up
+    deadline_timer: asyncio.TimerHandle | None = None
+    attempts: dict[int, Attempt] = field(default_factory=dict)
+    attempts_started: int = 0
     may_have_run: bool = False
-    settled: bool = False  # answered, or nobody waits any more
+    answered: bool = False  # answered, or nobody waits any more
 
 
 class PolicyDriver:
     def __init__(self, gateway: Policy, upstream: UpstreamClient) -> None:
-        self.gateway, self.upstream = gateway, upstream
+        self.policy, self.upstream = gateway, upstream
         self.counter: CounterClient | None = None
         self.limits = gateway.settings.limits
         self.loop = asyncio.get_running_loop()
-        self.table: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.events: deque[Event] = deque()
-        self.busy = False
+        self.processing = False
         self.now = 0.0
-        self.number = 0
-        self.unknown: set[str] = set()  # kinds of action that were logged as not supported
-        self.waiting = 0  # requests without their answer
+        self.last_request_id = 0
+        self.unsupported_actions: set[str] = set()  # kinds of action that were logged as not supported
+        self.unanswered = 0  # requests without their answer
 
     # --- events in ---------------------------------------------------------------------------------
 
-    def clock(self) -> float:
+    def current_time(self) -> float:
         """Unix time, as lease windows must agree between front doors; it never goes back."""
         self.now = max(self.now, time.time())
         return self.now
 
-    def post(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
         """Hand an event to the module.  Those that its actions bring about wait for their turn."""
         self.events.append(event)
-        if self.busy:
+        if self.processing:
             return
-        self.busy = True
+        self.processing = True
         try:
             while self.events:
-                self.step(self.events.popleft())
+                self.process_event(self.events.popleft())
         finally:
-            self.busy = False
+            self.processing = False
 
-    def step(self, event: Event) -> None:
-        gateway = self.gateway
+    def process_event(self, event: Event) -> None:
+        gateway = self.policy
         failed = False
         try:
-            actions = gateway.handle(self.clock(), event)
+            actions = gateway.handle(self.current_time(), event)
         except Exception:
             # One bad event must not lose the others: what was decided before the error still holds.
             log.exception("the module failed on %s", type(event).__name__)
             actions, failed = gateway.actions, True
         for action in actions:
             try:
-                self.carry_out(action)
+                self.execute(action)
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
                 if isinstance(action, StartAttempt | Reject | Fail):
-                    self.give_up(action.request_id)
+                    self.answer_after_error(action.request_id)
         if failed and isinstance(event, Request | AttemptFinished):
-            self.give_up(event.request_id)
+            self.answer_after_error(event.request_id)
 
-    def give_up(self, number: int) -> None:
+    def answer_after_error(self, number: int) -> None:
         """A truthful final answer for a request that an error has left without one."""
-        request = self.table.get(number)
-        if request is not None and not request.settled and not request.out:
-            self.settle(request, Response(502 if request.may_have_run else 503))
+        request = self.open_requests.get(number)
+        if request is not None and not request.answered and not request.attempts:
+            self.respond(request, Response(502 if request.may_have_run else 503))
             self.events.append(ClientDisconnected(number))
-            self.drop(request)
+            self.release_if_done(request)
 
-    def request(
+    def submit(
         self,
         make: Callable[[int], Request],
         end: float,
@@ -140,64 +140,64 @@
         reply: Callable[[Response], None],
         over: Callable[[], None],
     ) -> OpenRequest:
-        self.number += 1
-        request = OpenRequest(self.number, payload, reply, over, end)
-        self.table[request.number] = request
-        self.waiting += 1
+        self.last_request_id += 1
+        request = OpenRequest(self.last_request_id, payload, reply, over, end)
+        self.open_requests[request.request_id] = request
+        self.unanswered += 1
         left = end - GUARD_MARGIN - time.monotonic()
-        request.guard = self.loop.call_later(max(0.0, left), self.overdue, request)
-        self.post(make(request.number))
+        request.deadline_timer = self.loop.call_later(max(0.0, left), self.deadline_reached, request)
+        self.deliver(make(request.request_id))
         return request
 
-    def left(self, request: OpenRequest) -> None:
+    def client_disconnected(self, request: OpenRequest) -> None:
         """The client has gone away; attempts that are out run on, those that only wait are given up."""
-        if not request.settled:
-            self.settle(request, None)
-            self.post(ClientDisconnected(request.number))
-            self.give_up_waiting(request)
-            self.drop(request)
+        if not request.answered:
+            self.respond(request, None)
+            self.deliver(ClientDisconnected(request.request_id))
+            self.cancel_unwritten_attempts(request)
+            self.release_if_done(request)
 
-    def give_up_waiting(self, request: OpenRequest) -> None:
+    def cancel_unwritten_attempts(self, request: OpenRequest) -> None:
         """What is not written whole must not be, as nobody waits for it or it is answered: it never ran."""
-        for attempt in list(request.out.values()):
-            if attempt.link is None or attempt.link.unsent:
-                attempt.give_up(Outcome.CANCELLED)
+        for attempt in list(request.attempts.values()):
+            if attempt.connection is None or attempt.connection.has_unsent_bytes:
+                attempt.abandon(Outcome.CANCELLED)
 
-    def overdue(self, request: OpenRequest) -> None:
+    def deadline_reached(self, request: OpenRequest) -> None:
         """Guards the rule that no request is lost: its client's time is nearly up, and nobody answered."""
-        if request.settled:
+        if request.answered:
             return
-        for attempt in list(request.out.values()):
-            attempt.give_up(Outcome.TIMEOUT)
-        if not request.settled:  # what never ran may have been answered just now
-            self.settle(request, Response(504))
-            self.post(ClientDisconnected(request.number))
-            self.drop(request)
-
-    def answer_all(self) -> None:
+        for attempt in list(request.attempts.values()):
+            attempt.abandon(Outcome.TIMEOUT)
+        if not request.answered:  # what never ran may have been answered just now
+            self.respond(request, Response(504))
+            self.deliver(ClientDisconnected(request.request_id))
+            self.release_if_done(request)
+
+    def answer_open_requests(self) -> None:
         """The process is about to end: what is still held gets its final answer."""
-        for request in list(self.table.values()):
-            self.overdue(request)
+        for request in list(self.open_requests.values()):
+            self.deadline_reached(request)
 
-    def members(self, members: EndpointUpdate, addresses: dict[int, Address]) -> None:
+    def apply_endpoint_update(self, members: EndpointUpdate, addresses: dict[int, Address]) -> None:
         if members.kind is not UpdateKind.DELTA:
             for backend in [b for b in self.upstream.pools if b not in addresses]:
-                self.upstream.remove(backend)
+                self.upstream.remove_endpoint(backend)
         for entry in members.records:
             if entry.state is EndpointState.GONE:
-                self.upstream.remove(entry.endpoint_id)
+                self.upstream.remove_endpoint(entry.endpoint_id)
             else:
-                self.upstream.place(entry.endpoint_id, addresses[entry.endpoint_id], entry.started_at)
+                self.upstream.set_endpoint(entry.endpoint_id, addresses[entry.endpoint_id], entry.started_at)
             if entry.state is EndpointState.DRAINING:
-                self.upstream.withdraw(entry.endpoint_id)
-        self.post(members)
+                self.upstream.cancel_waiting(entry.endpoint_id)
+        self.deliver(members)
 
     # --- actions out -------------------------------------------------------------------------------
 
-    def carry_out(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
-                self.send(action)
+                self.start_attempt(action)
             case SetTimer():
                 self.set_timer(action.at, action.token)
             case AddToCounter():
@@ -206,41 +206,42 @@
                 else:
                     self.counter.add(action)
             case Reject():
-                self.end(action.request_id, Response(503, retry_after=action.retry_after))
+                self.finish(action.request_id, Response(503, retry_after=action.retry_after))
             case Fail():
-                self.end(action.request_id, Response(502))
+                self.finish(action.request_id, Response(502))
             case Cancel():
-                request = self.table.get(action.request_id)
-                if request is not None and (attempt := request.out.get(action.attempt)) is not None:
-                    attempt.give_up(Outcome.CANCELLED)
+                request = self.open_requests.get(action.request_id)
+                if request is not None and (attempt := request.attempts.get(action.attempt)) is not None:
+                    attempt.abandon(Outcome.CANCELLED)
             case Probe():
                 backend = action.endpoint_id
                 self.upstream.probe(
-                    backend, lambda r: self.post(ProbeFinished(backend, r.outcome, r.spent, r.report))
+                    backend,
+                    lambda r: self.deliver(ProbeFinished(backend, r.outcome, r.elapsed, r.load_report)),
                 )
             case CloseIdle():
                 self.upstream.close_idle(action.endpoint_id)
             case Log():
                 log.info("module: %s", action.text)
             case _:  # discovery is always watched, and front doors cannot talk to each other
-                if type(action).__name__ not in self.unknown:
-                    self.unknown.add(type(action).__name__)
+                if type(action).__name__ not in self.unsupported_actions:
+                    self.unsupported_actions.add(type(action).__name__)
                     log.warning("not supported here: %s", type(action).__name__)
 
-    def send(self, action: StartAttempt) -> None:
-        request = self.table.get(action.request_id)
-        number = request.sent if request is not None else 0
+    def start_attempt(self, action: StartAttempt) -> None:
+        request = self.open_requests.get(action.request_id)
+        number = request.attempts_started if request is not None else 0
         if request is not None:
-            request.sent += 1
-        left = request.end - ATTEMPT_MARGIN - time.monotonic() if request is not None else 0.0
+            request.attempts_started += 1
+        left = request.deadline - ATTEMPT_MARGIN - time.monotonic() if request is not None else 0.0
         if (
             request is None
-            or request.settled
+            or request.answered
             or left <= 0
             or number >= self.limits.max_attempts
-            or (request.out and not self.limits.may_hedge)
+            or (request.attempts and not self.limits.may_hedge)
         ):
-            closed = request is None or request.settled
+            closed = request is None or request.answered
             self.events.append(
                 AttemptFinished(
                     action.request_id, number, action.endpoint_id, Outcome.NOT_STARTED, closed, 0.0, 0, 0, ()
@@ -249,55 +250,71 @@
             return
         timeout = min(left, action.timeout) if action.timeout > 0 else left
 
-        def done(result: Result) -> None:
-            self.finished(request, number, action.endpoint_id, result)
+        def done(result: AttemptResult) -> None:
+            self.attempt_finished(request, number, action.endpoint_id, result)
 
-        attempt = self.upstream.start(action.endpoint_id, request.payload(timeout), timeout, done)
-        if not attempt.over:
-            request.out[number] = attempt
+        attempt = self.upstream.start_attempt(
+            action.endpoint_id, request.encode_for_endpoint(timeout), timeout, done
+        )
+        if not attempt.is_finished:
+            request.attempts[number] = attempt
 
-    def finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
-        request.out.pop(number, None)
+    def attempt_finished(
+        self, request: OpenRequest, number: int, backend: int, result: AttemptResult
+    ) -> None:
+        request.attempts.pop(number, None)
         if not result.outcome.never_ran:
             request.may_have_run = True
-        if result.outcome is Outcome.OK and not request.settled:
-            self.settle(request, Response(200, result.body, result.content_type))
-        closed = request.settled
-        self.post(
+        if result.outcome is Outcome.OK and not request.answered:
+            self.respond(request, Response(200, result.body, result.content_type))
+        closed = request.answered
+        self.deliver(
             AttemptFinished(
-                request.number, number, backend, result.outcome, closed, result.spent, 0, 0, result.report
+                request.request_id,
+                number,
+                backend,
+                result.outcome,
+                closed,
+                result.elapsed,
+                0,
+                0,
+                result.load_report,
             )
         )
         if closed:
-            self.give_up_waiting(request)
-        self.drop(request)
-
-    def end(self, number: int, answer: Response) -> None:
-        request = self.table.get(number)
-        if request is not None and not request.settled:
-            self.settle(request, answer)
-            self.give_up_waiting(request)
-            self.drop(request)
-
-    def settle(self, request: OpenRequest, answer: Response | None) -> None:
-        request.settled = True
-        self.waiting -= 1
-        if request.guard is not None:
-            request.guard.cancel()
+            self.cancel_unwritten_attempts(request)
+        self.release_if_done(request)
+
+    def finish(self, number: int, answer: Response) -> None:
+        request = self.open_requests.get(number)
+        if request is not None and not request.answered:
+            self.respond(request, answer)
+            self.cancel_unwritten_attempts(request)
+            self.release_if_done(request)
+
+    def respond(self, request: OpenRequest, answer: Response | None) -> None:
+        request.answered = True
+        self.unanswered -= 1
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
         if answer is not None:
-            request.reply(answer)
+            request.on_response(answer)
 
-    def drop(self, request: OpenRequest) -> None:
-        if request.settled and not request.out and self.table.pop(request.number, None) is not None:
-            request.over()
+    def release_if_done(self, request: OpenRequest) -> None:
+        if (
+            request.answered
+            and not request.attempts
+            and self.open_requests.pop(request.request_id, None) is not None
+        ):
+            request.on_released()
 
     def set_timer(self, at: float, token: int) -> None:
         # The loop counts whole milliseconds from a cached clock and may fire early by some: look again.
-        delay = math.ceil((at - self.clock()) * 1000) / 1000
-        self.loop.call_later(max(0.001, delay), self.fire, at, token)
+        delay = math.ceil((at - self.current_time()) * 1000) / 1000
+        self.loop.call_later(max(0.001, delay), self.timer_due, at, token)
 
-    def fire(self, at: float, token: int) -> None:
-        if self.clock() < at:
+    def timer_due(self, at: float, token: int) -> None:
+        if self.current_time() < at:
             self.set_timer(at, token)
         else:
-            self.post(TimerFired(token))
+            self.deliver(TimerFired(token))
--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -30,12 +30,12 @@
 
 
 @dataclass(slots=True)
-class Result:
+class AttemptResult:
     """How an attempt or a probe ended."""
 
     outcome: Outcome
-    spent: float
-    report: tuple[float, ...] = ()
+    elapsed: float
+    load_report: tuple[float, ...] = ()
     body: bytes = b""
     content_type: bytes = b""
 
@@ -43,38 +43,38 @@
 class Attempt:
     """One request on its way to one backend; `done` hears of its end exactly once."""
 
-    __slots__ = ("began", "done", "link", "over", "payload", "timer", "verdict")
+    __slots__ = ("abandoned_as", "connection", "is_finished", "on_finished", "payload", "started_at", "timer")
 
-    def __init__(self, payload: bytes, done: Callable[[Result], None]) -> None:
-        self.payload, self.done = payload, done
-        self.began = time.perf_counter()
-        self.link: UpstreamConnection | None = None  # once its first byte may have been written
+    def __init__(self, payload: bytes, done: Callable[[AttemptResult], None]) -> None:
+        self.payload, self.on_finished = payload, done
+        self.started_at = time.perf_counter()
+        self.connection: UpstreamConnection | None = None  # once its first byte may have been written
         self.timer: asyncio.TimerHandle | None = None
-        self.verdict: Outcome | None = None  # why it was given up here
-        self.over = False
+        self.abandoned_as: Outcome | None = None  # why it was given up here
+        self.is_finished = False
 
-    def finish(self, result: Result) -> None:
-        if not self.over:
-            self.over = True
+    def finish(self, result: AttemptResult) -> None:
+        if not self.is_finished:
+            self.is_finished = True
             if self.timer is not None:
                 self.timer.cancel()
-            self.done(result)
+            self.on_finished(result)
 
     def fail(self, outcome: Outcome) -> None:
-        self.finish(Result(outcome, time.perf_counter() - self.began))
+        self.finish(AttemptResult(outcome, time.perf_counter() - self.started_at))
 
-    def give_up(self, why: Outcome) -> None:
+    def abandon(self, why: Outcome) -> None:
         """Stop waiting.  What was written is out until its connection has ended, so that ends first and
         `done` hears of it then; else a further attempt might be out beside this one.
         """
-        if self.over or self.verdict is not None:
+        if self.is_finished or self.abandoned_as is not None:
             return
-        if self.link is None:
+        if self.connection is None:
             # Nothing was written: it never ran, whatever the reason for giving it up.
             self.fail(Outcome.NOT_STARTED if why is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         else:
-            self.verdict = why
-            self.link.abort()
+            self.abandoned_as = why
+            self.connection.abort()
 
 
 class MalformedResponseError(Exception):
@@ -89,14 +89,14 @@
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.unsent = False  # whether part of the request still waits in this process
+        self.has_unsent_bytes = False  # whether part of the request still waits in this process
         self.parser = httptools.HttpResponseParser(self)
         self.readable = select.poll()
         self.clear()
 
     def clear(self) -> None:
         self.read = 0  # bytes read for the answer that is coming, those of interim ones too
-        self.result: Result | None = None  # the whole answer
+        self.result: AttemptResult | None = None  # the whole answer
         self.keep = False
         self.new_answer()
 
@@ -124,15 +124,15 @@
 
     def carry(self, attempt: Attempt) -> None:
         assert self.transport is not None
-        self.attempt, attempt.link = attempt, self
+        self.attempt, attempt.connection = attempt, self
         self.transport.write(attempt.payload)
         attempt.payload = b""
 
     def pause_writing(self) -> None:
-        self.unsent = True
+        self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        self.unsent = False
+        self.has_unsent_bytes = False
 
     # --- the answer --------------------------------------------------------------------------------
 
@@ -154,16 +154,16 @@
             else:
                 return
             # It may have run.  The backend is well, so this is an error of its own, not a broken connection.
-            self.attempt.verdict = self.attempt.verdict or Outcome.ERROR
+            self.attempt.abandoned_as = self.attempt.abandoned_as or Outcome.ERROR
             self.abort()  # the attempt ends with its connection
             return
         # Only now, with all that was read looked at: `finish` may bring the next attempt to this link,
         # which must not get what stood behind this answer.  The answer itself is good in any case.
-        self.complete(keep=self.keep and error is None and not self.unsent)
+        self.complete(keep=self.keep and error is None and not self.has_unsent_bytes)
 
     def eof_received(self) -> None:
         """The end of an answer that tells no length.  A reset is no end, and is not told here."""
-        if self.attempt is not None and self.headed and not self.framed and self.attempt.verdict is None:
+        if self.attempt is not None and self.headed and not self.framed and self.attempt.abandoned_as is None:
             self.on_message_complete()
             if self.result is not None:
                 self.complete(keep=False)
@@ -221,10 +221,10 @@
             outcome = Outcome.OVERLOADED
         else:
             outcome = Outcome.ERROR
-        self.result = Result(
+        self.result = AttemptResult(
             outcome,
-            time.perf_counter() - self.attempt.began,
-            self.pool.owner.report(self.load),
+            time.perf_counter() - self.attempt.started_at,
+            self.pool.owner.parse_load_report(self.load),
             b"".join(self.body),
             self.content_type,
         )
@@ -238,8 +238,10 @@
         self.pool.forget(self)
         if (attempt := self.attempt) is not None:
             self.attempt = None
-            outcome = attempt.verdict or (Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
-            if self.unsent and attempt.verdict is Outcome.CANCELLED:
+            outcome = attempt.abandoned_as or (
+                Outcome.CONNECT_FAILED if self.has_unsent_bytes else Outcome.RESET
+            )
+            if self.has_unsent_bytes and attempt.abandoned_as is Outcome.CANCELLED:
                 outcome = Outcome.NOT_STARTED
             # The descriptor is closed only after this call returns; a further attempt must come later.
             self.pool.owner.loop.call_soon(attempt.fail, outcome)
@@ -268,14 +270,14 @@
                 self.owner.loop.call_later(left, self.use, link, attempt)
                 return
         if (
-            self.connecting + len(self.links) >= self.owner.most_open * BACKEND_PART
-            or not self.owner.make_room()
+            self.connecting + len(self.links) >= self.owner.max_connections * BACKEND_PART
+            or not self.owner.make_room_for_connection()
         ):
             # Nothing was sent.  Not a failed connection: the backend is not to blame.
             self.owner.loop.call_soon(attempt.fail, Outcome.OVERLOADED)
             return
         self.connecting += 1
-        self.owner.open += 1
+        self.owner.open_connections += 1
         self.waiting.add(attempt)
         task = self.owner.loop.create_task(self.connect(attempt))
         self.owner.tasks.add(task)
@@ -291,7 +293,7 @@
 
     def use(self, link: UpstreamConnection, attempt: Attempt) -> None:
         """Carry an attempt that has waited for a connection to rest, unless it was given up or withdrawn."""
-        wanted = attempt in self.waiting and not attempt.over
+        wanted = attempt in self.waiting and not attempt.is_finished
         self.waiting.discard(attempt)
         usable = link.usable()
         if usable and wanted:
@@ -310,13 +312,13 @@
                     lambda: UpstreamConnection(self), self.address.host, self.address.port
                 )
         except (OSError, TimeoutError):
-            self.owner.open -= 1
+            self.owner.open_connections -= 1
             if attempt in self.waiting:
                 attempt.fail(Outcome.CONNECT_FAILED)
             return
         finally:
             self.connecting -= 1
-            wanted = attempt in self.waiting and not attempt.over
+            wanted = attempt in self.waiting and not attempt.is_finished
             self.waiting.discard(attempt)
         self.links.add(link)
         if link.transport is None or link.transport.is_closing():
@@ -346,7 +348,7 @@
     def forget(self, link: UpstreamConnection) -> None:
         if link in self.links:
             self.links.remove(link)
-            self.owner.open -= 1
+            self.owner.open_connections -= 1
         if link in self.idle:
             self.idle.remove(link)
 
@@ -362,61 +364,63 @@
     def __init__(
         self, connect_timeout: float, conn_idle: float, columns: tuple[str, ...], most_open: int
     ) -> None:
-        self.connect_timeout, self.columns, self.most_open = connect_timeout, columns, most_open
+        self.connect_timeout, self.report_columns, self.max_connections = connect_timeout, columns, most_open
         self.keep_idle = IDLE_PART * conn_idle
         self.loop = asyncio.get_running_loop()
         self.pools: dict[int, EndpointPool] = {}
-        self.places: dict[Address, int] = {}  # who listens there
+        self.endpoint_by_address: dict[Address, int] = {}  # who listens there
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open = 0  # connections and attempts to connect
-        self.timer = self.loop.call_later(SWEEP, self.sweep)
+        self.open_connections = 0  # connections and attempts to connect
+        self.timer = self.loop.call_later(SWEEP, self.close_expired_connections)
 
-    def place(self, backend: int, address: Address, started: float) -> None:
+    def set_endpoint(self, backend: int, address: Address, started: float) -> None:
         """Where a backend listens.  Once it has moved or started again its idle connections are stale: a
         machine that vanished never closed them.  What is out on the others runs on.
         """
         pool = self.pools.get(backend)
         if pool is None or (pool.address, pool.started) != (address, started):
-            self.remove(backend)
+            self.remove_endpoint(backend)
             # A new one where another listened: that one is gone, and what is meant for it must not go here.
-            self.remove(self.places.get(address, backend))
+            self.remove_endpoint(self.endpoint_by_address.get(address, backend))
             self.pools[backend] = EndpointPool(self, backend, address, started)
-            self.places[address] = backend
+            self.endpoint_by_address[address] = backend
 
-    def remove(self, backend: int) -> None:
+    def remove_endpoint(self, backend: int) -> None:
         if (pool := self.pools.pop(backend, None)) is not None:
-            del self.places[pool.address]
+            del self.endpoint_by_address[pool.address]
             pool.close_idle()
             pool.withdraw()
 
-    def withdraw(self, backend: int) -> None:
+    def cancel_waiting(self, backend: int) -> None:
         if (pool := self.pools.get(backend)) is not None:
             pool.withdraw()
 
-    def start(self, backend: int, payload: bytes, timeout: float, done: Callable[[Result], None]) -> Attempt:
+    def start_attempt(
+        self, backend: int, payload: bytes, timeout: float, done: Callable[[AttemptResult], None]
+    ) -> Attempt:
         attempt = Attempt(payload, done)
         pool = self.pools.get(backend)
         if pool is None:
             self.loop.call_soon(attempt.fail, Outcome.CONNECT_FAILED)
         else:
-            attempt.timer = self.loop.call_later(timeout, attempt.give_up, Outcome.TIMEOUT)
+            attempt.timer = self.loop.call_later(timeout, attempt.abandon, Outcome.TIMEOUT)
             pool.start(attempt)
         return attempt
 
-    def probe(self, backend: int, done: Callable[[Result], None]) -> None:
+    def probe(self, backend: int, done: Callable[[AttemptResult], None]) -> None:
         """Health, with the load report as body where there are reports."""
-        path = b"/-/load" if self.columns else b"/-/healthy"
+        path = b"/-/load" if self.report_columns else b"/-/healthy"
 
-        def heard(result: Result) -> None:
-            if result.outcome is Outcome.OK and not result.report:
-                result.report = self.report(result.body)
+        def heard(result: AttemptResult) -> None:
+            if result.outcome is Outcome.OK and not result.load_report:
+                result.load_report = self.parse_load_report(result.body)
             done(result)
 
-        self.start(
+        self.start_attempt(
             backend, b"GET " + path + b" HTTP/1.1\r\nHost: origin.svc\r\n\r\n", self.connect_timeout, heard
         )
 
-    def report(self, text: bytes) -> tuple[float, ...]:
+    def parse_load_report(self, text: bytes) -> tuple[float, ...]:
         """A load report in the order of the settings' columns; one that lacks a column counts as none."""
         if not text:
             return ()
@@ -427,17 +431,17 @@
                 if not NUMBER.fullmatch(value.strip()):
                     return ()
                 values[key.strip()] = float(value)
-        if any(c not in values for c in self.columns):
+        if any(c not in values for c in self.report_columns):
             return ()
-        return tuple(values[c] for c in self.columns)
+        return tuple(values[c] for c in self.report_columns)
 
     def close_idle(self, backend: int) -> None:
         if (pool := self.pools.get(backend)) is not None:
             pool.close_idle()
 
-    def make_room(self) -> bool:
+    def make_room_for_connection(self) -> bool:
         """Whether a connection may be opened; the one that has stood idle longest makes room for it."""
-        if self.open < self.most_open:
+        if self.open_connections < self.max_connections:
             return True
         idle = [pool for pool in self.pools.values() if pool.idle]
         if not idle:
@@ -445,13 +449,13 @@
         min(idle, key=lambda pool: pool.idle[0].idle_since).idle.popleft().abort()
         return True
 
-    def sweep(self) -> None:
+    def close_expired_connections(self) -> None:
         """Retire idle connections well before the backend does: a request that crosses its close is lost."""
         before = time.monotonic() - self.keep_idle
         for pool in self.pools.values():
             while pool.idle and pool.idle[0].idle_since < before:
                 pool.idle.popleft().abort()
-        self.timer = self.loop.call_later(SWEEP, self.sweep)
+        self.timer = self.loop.call_later(SWEEP, self.close_expired_connections)
 
     def close(self) -> None:
         self.timer.cancel()
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -11,7 +11,7 @@
 from gateway.counter.client import DEAD_AFTER, LINES, MOST_PENDING, CounterClient
 from gateway.policy.actions import AddToCounter
 from gateway.policy.events import CounterReply, Outcome
-from tests.support.sockets import Tally, listening, run, until
+from tests.support.sockets import FakeCounter, listening, run, until
 
 
 def start(dial: str, timeout: float = 0.08) -> tuple[CounterClient, list[CounterReply]]:
@@ -21,7 +21,7 @@
 
 def test_calls_go_out_pipelined_and_their_answers_come_in_order() -> None:
     async def test() -> None:
-        tally = Tally()
+        tally = FakeCounter()
         async with listening(tally.handle) as dial:
             counter, heard = start(dial)
             for amount in (4.0, -1.5, 0.0):
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("reply", [b"-BUSY try later\r\n", b"-ERR no such call\r\n"])
 def test_a_call_that_is_turned_away_leaves_the_line_in_use(reply: bytes) -> None:
     async def test() -> None:
-        tally = Tally(lambda number, call: reply if number == 0 else None)
+        tally = FakeCounter(lambda number, call: reply if number == 0 else None)
         async with listening(tally.handle) as dial:
             counter, heard = start(dial)
             counter.add(AddToCounter(9, 1.0, 4.0))
@@ -63,7 +63,7 @@
 )  # fmt: skip
 def test_an_answer_without_a_number_ends_its_line(reply: bytes) -> None:
     async def test() -> None:
-        tally = Tally(lambda number, call: reply if number == 0 else None)
+        tally = FakeCounter(lambda number, call: reply if number == 0 else None)
         async with listening(tally.handle) as dial:
             counter, heard = start(dial, timeout=5.0)
             counter.add(AddToCounter(9, 1.0, 4.0))
@@ -83,7 +83,7 @@
 def test_calls_move_to_another_counter_without_a_gap() -> None:
     async def test() -> None:
         gate = asyncio.Event()
-        old, new = Tally(), Tally()
+        old, new = FakeCounter(), FakeCounter()
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
@@ -93,9 +93,11 @@
             counter, heard = start(dial, timeout=5.0)
             await counter.ready
             counter.add(AddToCounter(8, 5.0, 4.0))
-            counter.move(parse_address(elsewhere))
+            counter.change_address(parse_address(elsewhere))
             counter.add(AddToCounter(8, 6.0, 4.0))  # the old line still serves until the new one is up
-            await until(lambda: all(line.transport for line in counter.lines) and not counter.coming)
+            await until(
+                lambda: all(line.transport for line in counter.connections) and not counter.replacements
+            )
             counter.add(AddToCounter(8, 7.0, 4.0))
             await asyncio.sleep(0)
             assert not heard and not new.calls
@@ -103,7 +105,7 @@
             await until(lambda: len(heard) == 3)
             assert [(c.outcome, c.total) for c in heard][-1] == (Outcome.OK, 7.0)
             assert [float(call[2]) for call in new.calls] == [7.0]
-            assert [line.address for line in counter.lines] == [parse_address(elsewhere)] * LINES
+            assert [line.address for line in counter.connections] == [parse_address(elsewhere)] * LINES
             counter.close()
 
     run(test())
@@ -112,12 +114,12 @@
 # Guards against an outage by a wrong address: the old counter serves until another one is up.
 def test_a_counter_that_is_not_there_does_not_take_over() -> None:
     async def test() -> None:
-        tally = Tally()
+        tally = FakeCounter()
         async with listening(tally.handle) as dial:
             counter, heard = start(dial)
-            await until(lambda: all(line.transport for line in counter.lines))
-            counter.move(parse_address("127.0.0.1:1"))
-            counter.move(parse_address("127.0.0.1:2"))
+            await until(lambda: all(line.transport for line in counter.connections))
+            counter.change_address(parse_address("127.0.0.1:1"))
+            counter.change_address(parse_address("127.0.0.1:2"))
             counter.add(AddToCounter(9, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.OK
@@ -156,7 +158,7 @@
 
 def test_a_call_whose_connection_ends_may_have_been_added_and_the_next_reconnects() -> None:
     async def test() -> None:
-        tally = Tally()
+        tally = FakeCounter()
         ended: list[int] = []
 
         async def first_ends(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -171,7 +173,7 @@
             counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.TIMEOUT
-            await until(lambda: counter.lines[0].transport is not None)
+            await until(lambda: counter.connections[0].transport is not None)
             counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert heard[1].outcome is Outcome.OK and len(tally.calls) == 1
@@ -182,7 +184,7 @@
 
 def test_a_refused_connection_proves_that_nothing_was_added() -> None:
     async def test() -> None:
-        async with listening(Tally().handle) as dial:
+        async with listening(FakeCounter().handle) as dial:
             pass
         counter, heard = start(dial)
         counter.add(AddToCounter(8, 1.0, 4.0))  # held while the connection is tried
@@ -197,13 +199,13 @@
 
 def test_bytes_that_are_no_answer_end_the_connection() -> None:
     async def test() -> None:
-        tally = Tally(lambda number, call: b"?!\r\n" if number == 0 else None)
+        tally = FakeCounter(lambda number, call: b"?!\r\n" if number == 0 else None)
         async with listening(tally.handle) as dial:
             counter, heard = start(dial, timeout=5.0)
             counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.TIMEOUT
-            await until(lambda: counter.lines[0].transport is not None)
+            await until(lambda: counter.connections[0].transport is not None)
             counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert heard[1].outcome is Outcome.OK
@@ -225,7 +227,7 @@
             await until(lambda: len(opened) == LINES)
             counter.add(AddToCounter(8, 1.0, 4.0))
             await until(lambda: heard)
-            line = counter.lines[0]
+            line = counter.connections[0]
             line.look(time.monotonic() + DEAD_AFTER / 2)
             assert line.transport is not None and not line.transport.is_closing()
             line.look(time.monotonic() + DEAD_AFTER + 0.1)
@@ -237,10 +239,10 @@
 
 def test_an_idle_connection_is_kept_by_a_ping() -> None:
     async def test() -> None:
-        tally = Tally()
+        tally = FakeCounter()
         async with listening(tally.handle) as dial:
             counter, _ = start(dial)
-            line = counter.lines[0]
+            line = counter.connections[0]
             await until(lambda: line.transport is not None)
             before = line.heard
             line.look(time.monotonic() + 3.0)
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -15,7 +15,7 @@
 from gateway.discovery import client as discovery
 from gateway.discovery.client import DiscoveryClient, EndpointDecoder, backend_id
 from gateway.policy.events import EndpointState, EndpointUpdate, UpdateKind
-from tests.support.sockets import Agent, host_line, http_answer, listening, run, until
+from tests.support.sockets import FakeDiscoveryAgent, host_line, http_response, listening, run, until
 
 EndpointListener = list[tuple[EndpointUpdate, dict[int, Address]]]
 
@@ -24,7 +24,7 @@
     return json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode()
 
 
-class CutOff(Agent):
+class CutOff(FakeDiscoveryAgent):
     """An agent that takes connections while it is away, and never says anything on those."""
 
     def __init__(self, away: Callable[[], bool]) -> None:
@@ -54,7 +54,7 @@
 def test_lists_and_changes_reach_the_module() -> None:
     async def test() -> None:
         line = host_line("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
-        agent = Agent([change(42, line, whole=True), b"", change(43, line | {"health": "Gone"})])
+        agent = FakeDiscoveryAgent([change(42, line, whole=True), b"", change(43, line | {"health": "Gone"})])
         async with listening(agent.handle) as dial:
             watch, heard = start(dial)
             await until(lambda: len(heard) == 3)
@@ -83,7 +83,7 @@
     monkeypatch.setattr(discovery, "SILENT_AFTER", 1000.0)  # silence alone would have it read again
 
     async def test() -> None:
-        agent = Agent([bad, change(43, host_line("s-00000007", "127.0.0.1:81"))])
+        agent = FakeDiscoveryAgent([bad, change(43, host_line("s-00000007", "127.0.0.1:81"))])
         async with listening(agent.handle) as dial:
             watch, heard = start(dial)
             await until(lambda: heard and heard[-1][0].version == 43)
@@ -112,7 +112,7 @@
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(http_answer(body=json.dumps(raw | {"seq": 41, "whole": True}, indent=1).encode()))
+            writer.write(http_response(body=json.dumps(raw | {"seq": 41, "whole": True}, indent=1).encode()))
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for at in range(0, len(text), size):
@@ -144,7 +144,7 @@
             await until(lambda: len(agent.targets) == 2)
             away.set()
             await until(lambda: agent.tried == 8)
-            (source,) = watch.sources
+            (source,) = watch.agent_watches
             assert len(source.tries) <= discovery.MOST_TRIES  # descriptors are bounded
             began = time.monotonic()
             away.clear()
@@ -181,7 +181,9 @@
     monkeypatch.setattr(discovery, "SILENT_AFTER", 1000.0)
 
     async def test() -> None:
-        agent = Agent([change(50), change(42, host_line("s-00000007", "127.0.0.1:81"), whole=True)])
+        agent = FakeDiscoveryAgent(
+            [change(50), change(42, host_line("s-00000007", "127.0.0.1:81"), whole=True)]
+        )
         async with listening(agent.handle) as dial:
             watch, heard = start(dial)
             await until(lambda: len(agent.targets) >= 4)
@@ -212,7 +214,7 @@
                     await asyncio.sleep(0.01)
             dripping -= 1
 
-        agent = Agent()
+        agent = FakeDiscoveryAgent()
         spoilt = True
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -232,7 +234,7 @@
 # counts from a lower number: its changes must not be taken for known ones.
 def test_an_ended_watch_begins_again_with_the_whole_list() -> None:
     async def test() -> None:
-        agent = Agent([change(44), b"<end>"])
+        agent = FakeDiscoveryAgent([change(44), b"<end>"])
         async with listening(agent.handle) as dial:
             watch, heard = start(dial)
             await until(lambda: len(agent.targets) == 2)
@@ -252,8 +254,8 @@
 # the new agent's whole list is there, whatever its numbers, and the old agent is left alone then.
 def test_a_new_agent_takes_over_with_its_whole_list() -> None:
     async def test() -> None:
-        old = Agent(whole=change(90, host_line("s-00000007", "127.0.0.1:81"), whole=True))
-        new = Agent(whole=change(3, host_line("s-00000008", "127.0.0.1:82"), whole=True))
+        old = FakeDiscoveryAgent(whole=change(90, host_line("s-00000007", "127.0.0.1:81"), whole=True))
+        new = FakeDiscoveryAgent(whole=change(3, host_line("s-00000008", "127.0.0.1:82"), whole=True))
         gate = asyncio.Event()
 
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -263,14 +265,14 @@
         async with listening(old.handle) as dial, listening(late) as other:
             watch, heard = start(dial)
             await until(lambda: len(old.targets) == 2)
-            watch.move(parse_address(other))
+            watch.change_address(parse_address(other))
             old.lines.append(change(91))
             await until(lambda: heard[-1][0].version == 91)
             gate.set()
             new.lines.append(change(4))
             await until(lambda: heard[-1][0].version == 4 and not old.open)
             assert [m.version for m, _ in heard] == [90, 91, 3, 4]
-            assert len(old.targets) == 2 and len(watch.sources) == 1
+            assert len(old.targets) == 2 and len(watch.agent_watches) == 1
             watch.close()
 
     run(test())
@@ -278,10 +280,10 @@
 
 def test_a_whole_list_that_cannot_be_read_does_not_empty_the_fleet() -> None:
     names = EndpointDecoder(("a",), ("m2",))
-    names.members({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
+    names.decode_update({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
     with pytest.raises(ValueError, match="no entry"):
-        names.members({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
-    assert names.hosts == {7: "s-00000007"}
+        names.decode_update({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
+    assert names.host_names == {7: "s-00000007"}
 
 
 # Guards against growth: backends are replaced all day by ones of ever new names.
@@ -289,9 +291,9 @@
     names = EndpointDecoder(("a",), ("m2",))
     for number in range(50):
         line = host_line(f"s-{number:08x}", "127.0.0.1:81")
-        names.members({"seq": 2 * number, "whole": False, "hosts": [line]})
-        names.members({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
-    assert names.hosts == {}
+        names.decode_update({"seq": 2 * number, "whole": False, "hosts": [line]})
+        names.decode_update({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
+    assert names.host_names == {}
 
 
 def test_a_silent_watch_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -299,7 +301,7 @@
     monkeypatch.setattr(discovery, "SILENT_AFTER", 0.1)
 
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscoveryAgent()
         async with listening(agent.handle) as dial:
             watch, _ = start(dial)
             await until(lambda: len(agent.targets) == 4)
@@ -320,7 +322,7 @@
             )
             await reader.read()
 
-        agent = Agent()
+        agent = FakeDiscoveryAgent()
         async with listening(endless) as dial:
             watch, heard = start(dial)
             await until(lambda: len(agent.targets) == 2)
@@ -333,7 +335,9 @@
 def test_two_names_with_one_id_are_not_taken_for_one_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "backend_id", lambda name: 7)
     hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
-    members, addresses = EndpointDecoder(("a",), ("m2",)).members({"seq": 1, "whole": True, "hosts": hosts})
+    members, addresses = EndpointDecoder(("a",), ("m2",)).decode_update(
+        {"seq": 1, "whole": True, "hosts": hosts}
+    )
     assert len(members.records) == 1 and addresses == {7: Address("127.0.0.1", 81)}
 
 
@@ -341,7 +345,7 @@
 FAILURES = ("mute", "drips", "half", "500", "refuses")
 
 
-class Unwell(Agent):
+class Unwell(FakeDiscoveryAgent):
     """An agent that never says anything on an open watch, and spoils the next `spoils` connections."""
 
     def __init__(self, how: str) -> None:
@@ -357,9 +361,9 @@
             return writer.transport.abort()
         await reader.readuntil(b"\r\n\r\n")
         if self.how == "500":
-            writer.write(http_answer(500))
+            writer.write(http_response(500))
         elif self.how == "half":
-            writer.write(http_answer(body=self.whole)[:-10])
+            writer.write(http_response(body=self.whole)[:-10])
         elif self.how == "drips":
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             while not reader.at_eof():
@@ -402,7 +406,7 @@
             await until(lambda: len(agent.targets) == 2)
             agent.spoils = 1000
             await until(lambda: agent.tried == discovery.MOST_TRIES + 2)
-            (source,) = watch.sources
+            (source,) = watch.agent_watches
             assert len(source.tries) <= discovery.MOST_TRIES  # descriptors are bounded
             began, agent.spoils, agent.whole = time.monotonic(), 0, change(42, whole=True)
             await until(lambda: heard[-1][0].version == 42)
@@ -419,7 +423,7 @@
 # Guards against servers that come back into use by a list that was made first and came whole last.
 def test_a_list_that_came_slowly_does_not_replace_a_newer_one() -> None:
     async def test() -> None:
-        agent, calls, go = Agent(), 0, asyncio.Event()
+        agent, calls, go = FakeDiscoveryAgent(), 0, asyncio.Event()
         old, new = change(41, host_line("s-00000007", "127.0.0.1:81"), whole=True), change(42, whole=True)
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -429,7 +433,7 @@
                 agent.whole = new
                 return await agent.handle(reader, writer)
             await reader.readuntil(b"\r\n\r\n")
-            whole = http_answer(body=old)
+            whole = http_response(body=old)
             writer.write(whole[:-1])
             await go.wait()
             writer.write(whole[-1:])
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -13,13 +13,13 @@
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
 from tests.support.sockets import (
-    Backend,
-    Client,
-    front_door,
-    http_answer,
+    FakeEndpoint,
+    HttpClient,
+    http_response,
     listening,
     read_message,
     run,
+    running_gateway,
     send_on,
     until,
 )
@@ -40,12 +40,12 @@
 def test_terms_out_of_range_are_refused(terms: str) -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on, extra__most_units="2") as (door, script),
-            Client(door.server) as client,
+            running_gateway("127.0.0.1:1", react=send_on, extra__most_units="2") as (door, script),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask(X_Call_Terms=terms)).status == 400
             assert await client.reader.read() == b""  # and a close: its descriptor is of use to others
-            assert not script.events and not door.server.ids
+            assert not script.events and not door.listener.open_request_ids
 
     run(test())
 
@@ -64,7 +64,10 @@
 )  # fmt: skip
 def test_targets_that_could_be_read_in_two_ways_are_refused(target: bytes) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             good = client.request()
             bad = good.replace(b"/class-0?customer=0000000000000005", target)
             assert bad != good
@@ -79,7 +82,10 @@
 @pytest.mark.parametrize("coding", [b"chunked", b"Chunked", b"gzip, chunked", b"identity"])
 def test_a_length_beside_a_transfer_coding_is_refused(length_first: bool, coding: bytes) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             head = client.request(2, Content_Length="").removesuffix(b"\r\n")
             pair = [b"Content-Length: 5\r\n", b"Transfer-Encoding: " + coding + b"\r\n"]
             lines = b"".join(pair if length_first else reversed(pair))
@@ -101,10 +107,10 @@
             return [Reject(held[0].request_id, 0.5)] if len(held) == 2 else []
 
         async with (
-            front_door("127.0.0.1:1", react=react) as (door, _),
-            Client(door.server) as one,
-            Client(door.server) as two,
-            Client(door.server) as three,
+            running_gateway("127.0.0.1:1", react=react) as (door, _),
+            HttpClient(door.listener) as one,
+            HttpClient(door.listener) as two,
+            HttpClient(door.listener) as three,
         ):
             one.writer.write(one.request(Request_Id="taken"))
             await until(lambda: held)
@@ -112,7 +118,7 @@
             assert len(held) == 1
             three.writer.write(three.request(Request_Id="other"))
             assert (await read_message(one.reader)).status == 503
-            assert door.server.ids == {b"other"}
+            assert door.listener.open_request_ids == {b"other"}
 
     run(test())
 
@@ -126,7 +132,10 @@
     monkeypatch.setattr(listener, "SWEEP", 0.02)
 
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             began = time.monotonic()
             if sent:
                 client.writer.write(sent)
@@ -134,7 +143,7 @@
             assert await client.reader.read() == b""
             assert 0.1 <= time.monotonic() - began < 2
             client.writer.close()
-            await until(lambda: not door.server.clients)
+            await until(lambda: not door.listener.connections)
             assert not script.events
 
     run(test())
@@ -143,14 +152,17 @@
 # Guards the error answer against the reset that follows when a connection is closed on unread bytes.
 def test_a_flood_behind_an_error_does_not_swallow_it() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             client.writer.write(client.request(2, Content_Length=str(20 * FLOOD)))
             for _ in range(20):
                 client.writer.write(b"x" * FLOOD)
                 await client.writer.drain()
             assert (await read_message(client.reader)).status == 413
             assert await client.reader.read() == b""
-            assert not script.events and door.server.held == 0
+            assert not script.events and door.listener.buffered_bytes == 0
 
     run(test())
 
@@ -160,9 +172,12 @@
     monkeypatch.setattr(listener, "SWEEP", 0.02)
 
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, _), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
+        ):
             assert (await client.send(b"nonsense\r\n\r\n")).status == 400
-            await until(lambda: not door.server.clients)
+            await until(lambda: not door.listener.connections)
 
     run(test())
 
@@ -172,17 +187,17 @@
     monkeypatch.setattr(listener, "SILENT_AFTER", 0.0)
 
     async def test() -> None:
-        backend = Backend(lambda message: http_answer())
+        backend = FakeEndpoint(lambda message: http_response())
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as usual,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as usual,
         ):
-            door.server.most_clients = 5
+            door.listener.max_connections = 5
             assert (await usual.ask()).status == 200
             silent = [await asyncio.open_connection("127.0.0.1", usual.port) for _ in range(30)]
-            await until(lambda: len(door.server.clients) == 5)
-            async with Client(door.server) as new:
+            await until(lambda: len(door.listener.connections) == 5)
+            async with HttpClient(door.listener) as new:
                 assert (await new.ask()).status == 200
             assert (await usual.ask()).status == 200  # it asked a moment ago: others gave way
             for _, writer in silent:
@@ -194,15 +209,15 @@
 # Guards against memory held for bodies that never come whole.
 def test_half_bodies_are_bounded_together() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.most_held = 1500
-            async with Client(door.server) as one, Client(door.server) as two:
+        async with running_gateway("127.0.0.1:1", react=lambda event: []) as (door, script):
+            door.listener.max_buffered_bytes = 1500
+            async with HttpClient(door.listener) as one, HttpClient(door.listener) as two:
                 half = one.request(2, Content_Length="2000") + b"x" * 1000
                 one.writer.write(half)
-                await until(lambda: door.server.held == 1000)
+                await until(lambda: door.listener.buffered_bytes == 1000)
                 answer = await two.send(half)
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
-            await until(lambda: door.server.held == 0)
+            await until(lambda: door.listener.buffered_bytes == 0)
             assert not script.events
 
     run(test())
@@ -211,8 +226,11 @@
 # Guards against taking a request whose answer can no longer be sent: it would be lost.
 def test_what_stands_behind_a_last_answer_is_not_taken(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            door.server.most_clients = 0
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
+            door.listener.max_connections = 0
             client.writer.write(client.request() + client.request())
             assert (await read_message(client.reader)).status == 503
             assert await client.reader.read() == b""
@@ -228,16 +246,16 @@
     monkeypatch.setattr(listener, "SWEEP", 0.02)
 
     async def test() -> None:
-        backend = Backend(lambda message: http_answer())
+        backend = FakeEndpoint(lambda message: http_response())
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as one,
+            HttpClient(door.listener) as two,
         ):
             for client in (one, two):
                 assert (await client.ask()).status == 200
-            door.server.most_clients = 4
-            await until(lambda: not door.server.clients)
+            door.listener.max_connections = 4
+            await until(lambda: not door.listener.connections)
 
     run(test())
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -14,7 +14,7 @@
 from gateway.policy.events import EndpointState, EndpointUpdate, Event, Outcome, UpdateKind
 from gateway.policy.subsetting import arc
 from gateway.settings_parser import parse_settings
-from tests.support.policy import START, done, entry, request, sends, text
+from tests.support.policy import START, make_finished, make_record, make_request, started_attempts, text
 
 SETTINGS = {"peers_total": "40", "tariffs__0__quota_rate": "0"}
 
@@ -74,7 +74,7 @@
 def test_a_patched_list_is_the_one_made_anew(steps: list[tuple[str, object]], me: int, seed: int) -> None:
     told = parse_settings(text(me=str(me), **SETTINGS))
     both = (Policy(told, seed), Rebuilding(told, seed))
-    first = EndpointUpdate(UpdateKind.CACHED, 1, tuple(entry(n, cell=n % 3) for n in range(1, 41)))
+    first = EndpointUpdate(UpdateKind.CACHED, 1, tuple(make_record(n, cell=n % 3) for n in range(1, 41)))
     now, rid = START, 0
     out: list[tuple[StartAttempt, int]] = []
     for version, (kind, what) in enumerate([("list", None), *steps], 1):
@@ -83,7 +83,7 @@
         if kind in ("change", "list") and what is not None:
             assert isinstance(what, list)
             listed = tuple(
-                entry(n, cell=n % 3, state=state, started=now - 9 * age if age else 0.0)
+                make_record(n, cell=n % 3, state=state, started=now - 9 * age if age else 0.0)
                 for n, state, age in what
             )
             event = EndpointUpdate(
@@ -92,17 +92,17 @@
         elif kind == "request":
             assert isinstance(what, int)
             rid += 1
-            event = request(rid, cls=what)
+            event = make_request(rid, cls=what)
         elif kind == "answer":
             if not out:
                 continue
             assert isinstance(what, Outcome)
             sent, attempt = out.pop(0)
-            event = done(sent.request_id, sent, what, attempt, closed=what is Outcome.OK)
+            event = make_finished(sent.request_id, sent, what, attempt, closed=what is Outcome.OK)
         actions, reference = (made.handle(now, event) for made in both)
         assert actions == reference
         assert seen(both[0]) == seen(both[1])
-        for send in sends(actions):
+        for send in started_attempts(actions):
             out.append((send, both[0].jobs[send.request_id].attempts - 1))
 
 
@@ -110,12 +110,12 @@
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_change_costs_no_more_in_a_long_list(state: EndpointState) -> None:
     def cost(count: int) -> float:
-        listed = [entry(n, cell=n % 490) for n in range(1, count + 1)]
+        listed = [make_record(n, cell=n % 490) for n in range(1, count + 1)]
         made = Policy(parse_settings(text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1)
         made.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, tuple(listed)))
         took = []
         for n in range(1, 61):
-            for told in (entry(n, cell=n % 490, state=state), listed[n - 1]):
+            for told in (make_record(n, cell=n % 490, state=state), listed[n - 1]):
                 event = EndpointUpdate(UpdateKind.DELTA, 1 + n, (told,))
                 began = time.process_time()
                 made.handle(START, event)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -10,14 +10,22 @@
 from gateway.policy.actions import AddToCounter
 from gateway.policy.engine import TICK
 from gateway.policy.events import CounterReply, Event, Outcome, TimerFired
-from tests.support.policy import START, Counter, done, gateway, play, request, sends
+from tests.support.policy import (
+    START,
+    FakeCounter,
+    make_finished,
+    make_policy,
+    make_request,
+    run_event,
+    started_attempts,
+)
 
 GATEWAYS, WIDTH, CUSTOMERS, SECONDS = 12, 6, 60, 20
 RATE, BURST = 4.0, 8.0  # of the helpers' first plan
 LATE = 0.2  # seconds after which the policy to compare with sees what was let in
 
 
-class Crowded(Counter):
+class Crowded(FakeCounter):
     """A counter that turns away what is more than it bears in a second."""
 
     def __init__(self, bears: int) -> None:
@@ -82,16 +90,17 @@
     """Sent on, and sent on beyond the quotas, by the gateways with a counter that bears that many calls."""
     counter, true = Crowded(bears), [Store() for _ in range(CUSTOMERS)]
     fleet = [
-        gateway((), n, me=str(n), peers_total=str(GATEWAYS), caps__probes="false") for n in range(GATEWAYS)
+        make_policy((), n, me=str(n), peers_total=str(GATEWAYS), caps__probes="false")
+        for n in range(GATEWAYS)
     ]
     sent = 0
 
     def act(at: int, now: float, event: Event) -> None:
         nonlocal sent
-        for send in sends(play(fleet[at], counter, now, event)):
+        for send in started_attempts(run_event(fleet[at], counter, now, event)):
             true[day[send.request_id][1]].take(now)
             sent += 1
-            act(at, now, done(send.request_id, send, Outcome.OK, closed=True))
+            act(at, now, make_finished(send.request_id, send, Outcome.OK, closed=True))
 
     rid = 0
     for step in range(int(SECONDS / TICK)):
@@ -99,7 +108,7 @@
         counter.look(now)
         while rid < len(day) and day[rid][0] < now:
             _, customer, at = day[rid]
-            act(at, day[rid][0], request(rid, customer=customer, width=WIDTH))
+            act(at, day[rid][0], make_request(rid, customer=customer, width=WIDTH))
             rid += 1
         for at, made in enumerate(fleet):
             if made.jobs or made.holding:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -20,7 +20,14 @@
     TimerFired,
     UpdateKind,
 )
-from tests.support.policy import START, done, entry, gateway, request, sends
+from tests.support.policy import (
+    START,
+    make_finished,
+    make_policy,
+    make_record,
+    make_request,
+    started_attempts,
+)
 
 COLD_SHARE, WARM_UP = 0.2, 10.0  # the helpers' rules
 COUNT = 40  # backends
@@ -91,20 +98,20 @@
 
     def members(self, now: float) -> tuple[EndpointRecord, ...]:
         return tuple(
-            entry(n, cell=n % 2, started=STARTED if n in self.cold and now >= STARTED else 0.0)
+            make_record(n, cell=n % 2, started=STARTED if n in self.cold and now >= STARTED else 0.0)
             for n in range(1, COUNT + 1)
         )
 
     def make(self, me: int, now: float) -> Policy:
         """A process that has just started: it knows the list and nothing else."""
-        return gateway(self.members(now), self.random.getrandbits(32), me=str(me), **self.settings)
+        return make_policy(self.members(now), self.random.getrandbits(32), me=str(me), **self.settings)
 
     def act(self, at: int, now: float, event: Event) -> None:
-        for send in sends(self.made[at].handle(now, event)):
+        for send in started_attempts(self.made[at].handle(now, event)):
             self.sent += 1
             ends, outcome = self.backends.take(send.endpoint_id, now)
             attempt = self.made[at].jobs[send.request_id].attempts - 1
-            told = done(send.request_id, send, outcome, attempt, closed=outcome is Outcome.OK)
+            told = make_finished(send.request_id, send, outcome, attempt, closed=outcome is Outcome.OK)
             heapq.heappush(self.ending, (ends, self.sent, at, told, self.made[at]))
 
     def end(self, now: float) -> None:
@@ -140,7 +147,7 @@
             alive = [at for at in range(self.peers) if at not in self.down]
             (at,) = self.random.choices(alive, [self.weights[n] for n in alive])
             rid += 1
-            self.act(at, now, request(rid))
+            self.act(at, now, make_request(rid))
 
 
 # Guards the term that cold backends fall under the sum of what all processes send: the ramp holds for the
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections import Counter as Tally
+from collections import Counter
 from typing import Any
 
 import pytest
@@ -19,12 +19,21 @@
     UpdateKind,
 )
 from gateway.policy.subsetting import LEAST_BACKENDS, LEAST_SHARERS, arc, place
-from tests.support.policy import START, Counter, done, entry, gateway, play, request, sends
+from tests.support.policy import (
+    START,
+    FakeCounter,
+    make_finished,
+    make_policy,
+    make_record,
+    make_request,
+    run_event,
+    started_attempts,
+)
 
 
 @pytest.mark.parametrize(("peers", "count"), [(40, 60), (40, 96), (17, 60), (100, 31)])
 def test_every_backend_has_about_as_many_gateways(peers: int, count: int) -> None:
-    sharers = Tally(n for me in range(peers) for n in arc(count, lambda _: True, me, peers))
+    sharers = Counter(n for me in range(peers) for n in arc(count, lambda _: True, me, peers))
     assert len(sharers) == count
     assert min(sharers.values()) >= LEAST_SHARERS - 1
     assert max(sharers.values()) - min(sharers.values()) <= 2
@@ -39,7 +48,9 @@
 def test_gateways_in_a_row_do_not_keep_to_the_same_backends() -> None:
     places = [place(me, 40) for me in range(40)]
     assert len(set(places)) == 40
-    rows = [Tally(n for me in range(at, at + 8) for n in arc(60, lambda _: True, me, 40)) for at in range(32)]
+    rows = [
+        Counter(n for me in range(at, at + 8) for n in arc(60, lambda _: True, me, 40)) for at in range(32)
+    ]
     assert all(len(row) >= 45 for row in rows)
 
 
@@ -55,22 +66,22 @@
 
 
 def test_a_gateway_of_many_keeps_to_few_backends_and_uses_others_when_those_are_gone() -> None:
-    fleet = [entry(n) for n in range(1, 61)]
-    made = gateway(fleet, peers_total="40", me="7")
-    counter, used = Counter(), set()
+    fleet = [make_record(n) for n in range(1, 61)]
+    made = make_policy(fleet, peers_total="40", me="7")
+    counter, used = FakeCounter(), set()
     for rid in range(200):
-        (send,) = sends(play(made, counter, START + rid, request(rid, customer=rid)))
+        (send,) = started_attempts(run_event(made, counter, START + rid, make_request(rid, customer=rid)))
         used.add(send.endpoint_id)
-        play(
+        run_event(
             made,
             counter,
             START + rid + 0.1,
             AttemptFinished(rid, 0, send.endpoint_id, Outcome.OK, True, 0.1, 0, 0, ()),
         )
     assert len(used) <= LEAST_BACKENDS
-    gone = tuple(entry(n, state=EndpointState.GONE) for n in used)
+    gone = tuple(make_record(n, state=EndpointState.GONE) for n in used)
     made.handle(START + 300, EndpointUpdate(UpdateKind.DELTA, 2, gone))
-    (send,) = sends(play(made, counter, START + 300, request(999, customer=999)))
+    (send,) = started_attempts(run_event(made, counter, START + 300, make_request(999, customer=999)))
     assert send.endpoint_id not in used
 
 
@@ -85,10 +96,10 @@
 def test_candidates_are_those_of_a_walk_through_all(
     changes: list[tuple[int, EndpointState, bool]], me: int, seed: int
 ) -> None:
-    listed = [entry(n, cell=n % 3) for n in range(1, 41)]
-    made = gateway(listed, seed, me=str(me), peers_total="40", tariffs__0__quota_rate="0")
+    listed = [make_record(n, cell=n % 3) for n in range(1, 41)]
+    made = make_policy(listed, seed, me=str(me), peers_total="40", tariffs__0__quota_rate="0")
     for version, (number, state, cold) in enumerate(changes, 2):
-        told = entry(number, cell=number % 3, state=state, started=START if cold else 0.0)
+        told = make_record(number, cell=number % 3, state=state, started=START if cold else 0.0)
         made.handle(START, EndpointUpdate(UpdateKind.DELTA, version, (told,)))
     looked: list[list[int]] = []
     best = made.best
@@ -106,11 +117,11 @@
     made.best = recorded  # type: ignore[method-assign]
     for rid in range(10):
         looked.clear()
-        found = made.handle(START + rid, request(rid, cls=rid % 2))
-        assert bool(sends(found)) <= bool(looked)
-        for send in sends(found):
+        found = made.handle(START + rid, make_request(rid, cls=rid % 2))
+        assert bool(started_attempts(found)) <= bool(looked)
+        for send in started_attempts(found):
             looked.clear()
-            made.handle(START + rid, done(rid, send, Outcome.RESET))
+            made.handle(START + rid, make_finished(rid, send, Outcome.RESET))
 
 
 def test_a_request_does_not_look_at_backends_that_are_not_near() -> None:
@@ -125,7 +136,7 @@
             return super().__getattribute__(name)
 
     listed = [Watched(n, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for n in range(1, 2001)]
-    made = gateway(listed, 1, peers_total="2000", tariffs__0__quota_rate="0")
+    made = make_policy(listed, 1, peers_total="2000", tariffs__0__quota_rate="0")
     looked = 0
-    assert sends(made.handle(START, request(1)))
+    assert started_attempts(made.handle(START, make_request(1)))
     assert 0 < looked < 100
--- a/tests/process/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -26,15 +26,15 @@
 from gateway.upstream import client as upstream
 from tests.support.sockets import (
     FIRST,
-    Agent,
-    Backend,
-    Client,
+    FakeDiscoveryAgent,
+    FakeEndpoint,
+    HttpClient,
     config,
-    front_door,
     host_line,
-    http_answer,
+    http_response,
     listening,
     run,
+    running_gateway,
     send_on,
     until,
 )
@@ -65,7 +65,7 @@
 
 
 def gated(door: Any) -> Gate:
-    door.host.upstream.loop = gate = Gate(door.host.upstream.loop)
+    door.driver.upstream.loop = gate = Gate(door.driver.upstream.loop)
     return gate
 
 
@@ -81,17 +81,17 @@
 @pytest.mark.parametrize("how", ["draining", "gone", "left out", "moved"])
 def test_what_waits_for_a_connection_is_not_sent_to_a_backend_that_leaves(how: str) -> None:
     async def test() -> None:
-        leaving, other = Backend(), Backend(lambda message: http_answer(body=b"other"))
+        leaving, other = FakeEndpoint(), FakeEndpoint(lambda message: http_response(body=b"other"))
         async with (
             listening(leaving.handle) as first,
             listening(other.handle) as second,
-            front_door(first, second, react=to_another, caps__connect_timeout_s="5.0") as (door, script),
-            Client(door.server) as client,
+            running_gateway(first, second, react=to_another, caps__connect_timeout_s="5.0") as (door, script),
+            HttpClient(door.listener) as client,
         ):
             gate = gated(door)
             waiting = asyncio.create_task(client.ask(2))
             await until(lambda: gate.asked == 1)
-            address = door.host.upstream.pools[FIRST].address
+            address = door.driver.upstream.pools[FIRST].address
             state = {"draining": EndpointState.DRAINING, "gone": EndpointState.GONE}.get(
                 how, EndpointState.READY
             )
@@ -99,9 +99,11 @@
             if how == "left out":
                 beside = EndpointRecord(2, 0, 0.0, state, 0, 0, 1.0)
                 told = EndpointUpdate(UpdateKind.SNAPSHOT, 42, (beside,))
-                door.host.members(told, {2: door.host.upstream.pools[2].address})
+                door.driver.apply_endpoint_update(told, {2: door.driver.upstream.pools[2].address})
             else:
-                door.host.members(EndpointUpdate(UpdateKind.DELTA, 42, (entry,)), {FIRST: address})
+                door.driver.apply_endpoint_update(
+                    EndpointUpdate(UpdateKind.DELTA, 42, (entry,)), {FIRST: address}
+                )
             gate.open.set()
             assert (await waiting).body == b"other"
             # The module hears why first: else it could choose the same backend again.
@@ -122,20 +124,20 @@
         return []
 
     async def test() -> None:
-        backend, second = Backend(lambda message: None), Backend()
+        backend, second = FakeEndpoint(lambda message: None), FakeEndpoint()
         async with (
             listening(backend.handle) as first,
             listening(second.handle) as other,
-            front_door(first, other, react=react, caps__connect_timeout_s="5.0") as (door, script),
+            running_gateway(first, other, react=react, caps__connect_timeout_s="5.0") as (door, script),
         ):
             gate = gated(door)
-            gate.open_for = door.host.upstream.pools[FIRST].address.port
-            async with Client(door.server) as client:
+            gate.open_for = door.driver.upstream.pools[FIRST].address.port
+            async with HttpClient(door.listener) as client:
                 client.writer.write(client.request())
                 await until(lambda: backend.seen and gate.asked == 2)
             await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
             gate.open.set()
-            await until(lambda: door.host.upstream.pools[2].idle)
+            await until(lambda: door.driver.upstream.pools[2].idle)
             assert not second.seen
 
     run(test())
@@ -144,20 +146,20 @@
 # Guards against a request that is sent on for a client that left while it waited for a connection.
 def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_left() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeEndpoint()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on, caps__connect_timeout_s="5.0") as (door, script),
+            running_gateway(dial, react=send_on, caps__connect_timeout_s="5.0") as (door, script),
         ):
             gate = gated(door)
-            async with Client(door.server) as client:
+            async with HttpClient(door.listener) as client:
                 client.writer.write(client.request(2))
                 await until(lambda: gate.asked == 1)
             await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
-            assert not door.host.table and not door.server.ids
+            assert not door.driver.open_requests and not door.listener.open_request_ids
             gate.open.set()
-            await until(lambda: door.host.upstream.pools[FIRST].idle)  # it is paid for and kept
-            async with Client(door.server) as client:
+            await until(lambda: door.driver.upstream.pools[FIRST].idle)  # it is paid for and kept
+            async with HttpClient(door.listener) as client:
                 assert (await client.ask(Request_Id="second")).status == 200
             assert [m.headers["request-id"] for m in backend.seen] == ["second"]
 
@@ -183,26 +185,26 @@
         return []
 
     async def test() -> None:
-        backend, second = Backend(), Backend()
+        backend, second = FakeEndpoint(), FakeEndpoint()
         async with (
             listening(backend.handle) as first,
             listening(second.handle) as other,
-            front_door(first, other, react=react, caps__connect_timeout_s="5.0") as (door, script),
-            Client(door.server) as client,
+            running_gateway(first, other, react=react, caps__connect_timeout_s="5.0") as (door, script),
+            HttpClient(door.listener) as client,
         ):
             if how == "resting":
                 assert (await client.ask(Request_Id="warm")).status == 200
                 monkeypatch.setattr(upstream, "REST", 0.3)
             else:
-                door.host.number = 1
+                door.driver.last_request_id = 1
                 gate = gated(door)
-                gate.open_for = door.host.upstream.pools[FIRST].address.port
+                gate.open_for = door.driver.upstream.pools[FIRST].address.port
             waiting = asyncio.create_task(client.ask(Request_Id="once"))
             assert (await waiting).status == (503 if how == "given up" else 200)
-            await until(lambda: Outcome.NOT_STARTED in script.outcomes() and not door.host.table)
+            await until(lambda: Outcome.NOT_STARTED in script.outcomes() and not door.driver.open_requests)
             if how != "resting":
                 gate.open.set()
-            await until(lambda: door.host.upstream.pools[2].idle)
+            await until(lambda: door.driver.upstream.pools[2].idle)
             assert "once" not in [m.headers["request-id"] for m in second.seen]
 
     run(test())
@@ -213,7 +215,7 @@
 @pytest.mark.parametrize("away", [False, True])
 def test_a_start_waits_for_the_list_but_not_for_ever(away: bool) -> None:
     async def test() -> None:
-        agent, go, began = Agent(), asyncio.Event(), time.monotonic()
+        agent, go, began = FakeDiscoveryAgent(), asyncio.Event(), time.monotonic()
 
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await go.wait()
@@ -223,14 +225,14 @@
         agent.whole = json.dumps({"seq": 42, "whole": True, "hosts": [new]}).encode()
         async with listening(late) as discovery:
             door = GatewayProcess(config([old], discovery=discovery))
-            door.list_wait = 0.05 if away else 15.0
+            door.endpoint_list_timeout = 0.05 if away else 15.0
             start = asyncio.create_task(door.start())
             if not away:
-                await until(lambda: door.discovery.sources[0].tries)
+                await until(lambda: door.discovery.agent_watches[0].tries)
                 assert not start.done()
                 go.set()
             await start
-            assert list(door.host.upstream.pools) == [1 if away else 2]
+            assert list(door.driver.upstream.pools) == [1 if away else 2]
             assert time.monotonic() - began < 10
             await door.close()
 
@@ -239,8 +241,8 @@
 
 def connected(door: GatewayProcess) -> socket.socket:
     """A client of the front door that acts between two steps of the loop."""
-    assert door.server.server is not None
-    client = socket.create_connection(door.server.server.sockets[0].getsockname())
+    assert door.listener.socket_server is not None
+    client = socket.create_connection(door.listener.socket_server.sockets[0].getsockname())
     client.setblocking(False)
     return client
 
@@ -260,8 +262,8 @@
 
 async def ask_four(door: GatewayProcess, client: socket.socket, high: int | None = None) -> None:
     """Four requests at once, over a connection that holds few bytes of their answers."""
-    await until(lambda: door.server.clients)
-    (served,) = door.server.clients
+    await until(lambda: door.listener.connections)
+    (served,) = door.listener.connections
     assert served.transport is not None
     inner = served.transport.get_extra_info("socket")
     inner.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -275,24 +277,24 @@
 @pytest.mark.parametrize("how", ["drain", "idle", "room"])
 def test_a_request_that_is_not_read_yet_is_not_closed_on(how: str) -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeEndpoint()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
+            running_gateway(dial, react=send_on) as (door, _),
         ):
-            server = door.server
+            server = door.listener
             with connected(door) as client:
                 loop = asyncio.get_running_loop()
                 await loop.sock_sendall(client, REQUEST + b"one\r\n\r\n")
                 assert b" 200 OK" in await loop.sock_recv(client, 1 << 16)
-                await until(lambda: server.idle)
-                (idle,) = server.idle
+                await until(lambda: server.idle_connections)
+                (idle,) = server.idle_connections
                 assert client.send(REQUEST + b"two\r\n\r\n")  # no step of the loop lies between these
                 if how == "drain":
                     server.stop_listening()
                 elif how == "idle":
                     idle.since = float("-inf")
-                    server.sweep()
+                    server.close_overdue_connections()
                 else:
                     assert server.victim(Connection(server)) is not idle
                 answer = b""
@@ -311,15 +313,15 @@
     monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
 
     async def test() -> None:
-        backend = Backend()
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, _):
+        backend = FakeEndpoint()
+        async with listening(backend.handle) as dial, running_gateway(dial, react=send_on) as (door, _):
             with connected(door) as client:
                 loop = asyncio.get_running_loop()
                 await loop.sock_sendall(client, REQUEST + b"half")
-                await until(lambda: any(c.arriving for c in door.server.fresh))
-                door.drain_time = 10.0 if whole else 0.1
+                await until(lambda: any(c.arriving for c in door.listener.new_connections))
+                door.drain_timeout = 10.0 if whole else 0.1
                 drained = asyncio.create_task(door.drain())
-                await until(lambda: door.server.stopping)
+                await until(lambda: door.listener.stopping)
                 await asyncio.sleep(0)
                 if whole:
                     assert not drained.done()
@@ -340,12 +342,12 @@
 
     async def test() -> None:
         body = b"x" * 60_000
-        backend = Backend(lambda message: http_answer(body=body))
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, _):
-            door.drain_time = 10.0
+        backend = FakeEndpoint(lambda message: http_response(body=body))
+        async with listening(backend.handle) as dial, running_gateway(dial, react=send_on) as (door, _):
+            door.drain_timeout = 10.0
             with connected(door) as client:
                 await ask_four(door, client)
-                await until(lambda: door.server.unflushed() and not door.host.waiting)
+                await until(lambda: door.listener.has_unsent_responses() and not door.driver.unanswered)
                 drained = asyncio.create_task(door.drain())
                 done, _ = await asyncio.wait([drained], timeout=0.3)  # it may not end: nothing is read
                 assert not done
@@ -360,17 +362,17 @@
 # still waits for must not be sent on.
 def test_a_client_that_leaves_while_it_is_not_read_is_heard() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * 60_000))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * 60_000))
 
         def react(event: Any) -> list[Action]:
             return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
 
-        async with listening(backend.handle) as dial, front_door(dial, react=react) as (door, script):
+        async with listening(backend.handle) as dial, running_gateway(dial, react=react) as (door, script):
             with connected(door) as client:
                 await ask_four(door, client)
-                await until(lambda: door.server.unflushed() and door.host.waiting == 1)
+                await until(lambda: door.listener.has_unsent_responses() and door.driver.unanswered == 1)
             await until(lambda: script.of(ClientDisconnected))
-            assert not door.host.table
+            assert not door.driver.open_requests
 
     run(test())
 
@@ -380,20 +382,20 @@
 @pytest.mark.parametrize("high", [None, 1 << 20])
 def test_a_client_that_ends_its_sending_while_answers_wait_has_left(high: int | None) -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * 60_000))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * 60_000))
 
         def react(event: Any) -> list[Action]:
             return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
 
-        async with listening(backend.handle) as dial, front_door(dial, react=react) as (door, script):
+        async with listening(backend.handle) as dial, running_gateway(dial, react=react) as (door, script):
             with connected(door) as client:
                 await ask_four(door, client, high)
-                await until(lambda: door.server.unflushed() and door.host.waiting == 1)
+                await until(lambda: door.listener.has_unsent_responses() and door.driver.unanswered == 1)
                 client.shutdown(socket.SHUT_WR)
                 began = time.monotonic()
                 await until(lambda: script.of(ClientDisconnected))
                 assert time.monotonic() - began < 0.5
-            await until(lambda: not door.server.clients and not door.host.table)
+            await until(lambda: not door.listener.connections and not door.driver.open_requests)
 
     run(test())
 
@@ -406,16 +408,16 @@
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
             dial = f"127.0.0.1:{slow.getsockname()[1]}"
-            async with front_door(dial, react=send_on) as (door, script):
-                pool = door.host.upstream.pools[FIRST]
+            async with running_gateway(dial, react=send_on) as (door, script):
+                pool = door.driver.upstream.pools[FIRST]
                 gate = gated(door)
                 gate.small = True
                 gate.open.set()
-                async with Client(door.server) as client:
+                async with HttpClient(door.listener) as client:
                     client.writer.write(client.request(2, body=b"x" * 60_000))
-                    await until(lambda: any(link.unsent for link in pool.links))
+                    await until(lambda: any(link.has_unsent_bytes for link in pool.links))
                 await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
-                assert not pool.links and not door.host.table
+                assert not pool.links and not door.driver.open_requests
                 taken, _ = slow.accept()
                 with taken:
                     assert len(await read_all(taken)) < 60_000
@@ -428,12 +430,12 @@
 @pytest.mark.parametrize("count", [1, 300])
 def test_nothing_is_sent_on_for_a_client_that_left_before_it_was_read(count: int) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script):
+        async with running_gateway("127.0.0.1:1", react=send_on) as (door, script):
             with connected(door) as client:
-                await until(lambda: door.server.clients)
+                await until(lambda: door.listener.connections)
                 for number in range(count):  # no step of the loop lies between these and the close
                     assert client.send(REQUEST + b"%d\r\n\r\n" % number)
-            await until(lambda: not door.server.clients)
-            assert not script.events and not door.host.table and not door.server.ids
+            await until(lambda: not door.listener.connections)
+            assert not script.events and not door.driver.open_requests and not door.listener.open_request_ids
 
     run(test())
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -17,13 +17,13 @@
 from gateway.counter.client import LINES
 from gateway.discovery.client import MOST_TRIES
 from tests.support.sockets import (
-    Agent,
-    Backend,
+    FakeCounter,
+    FakeDiscoveryAgent,
+    FakeEndpoint,
     Message,
-    Tally,
     config_text,
     host_line,
-    http_answer,
+    http_response,
     listening,
     read_message,
     run,
@@ -87,10 +87,10 @@
 
 
 def served(body: bytes) -> Callable[[Message], bytes]:
-    return lambda message: http_answer(body=body)
+    return lambda message: http_response(body=body)
 
 
-class Down(Agent):
+class Down(FakeDiscoveryAgent):
     """An agent that says nothing on connections made while it is down, nor ever on those."""
 
     down = False
@@ -107,7 +107,12 @@
 # counter and attempts still get theirs, usual clients are served, and what discovery has is told in time.
 def test_idle_clients_leave_descriptors_to_the_others(tmp_path: Path) -> None:
     async def test() -> None:
-        first, second, agent, tally = (Backend(served(b"1")), Backend(served(b"2")), Down(), Tally())
+        first, second, agent, tally = (
+            FakeEndpoint(served(b"1")),
+            FakeEndpoint(served(b"2")),
+            Down(),
+            FakeCounter(),
+        )
         async with contextlib.AsyncExitStack() as stack:
             dials = [await stack.enter_async_context(listening(b.handle)) for b in (first, second)]
             discovery = await stack.enter_async_context(listening(agent.handle))
@@ -154,7 +159,7 @@
                 await writer.drain()
                 await asyncio.sleep(0.3)
 
-        tallies = [Tally(), Tally()]
+        tallies = [FakeCounter(), FakeCounter()]
         async with contextlib.AsyncExitStack() as stack:
             agents = [await stack.enter_async_context(listening(partial(drip, n))) for n in range(2)]
             counters = [await stack.enter_async_context(listening(t.handle)) for t in tallies]
--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -28,15 +28,15 @@
 )
 from tests.support.sockets import (
     FIRST,
-    Backend,
-    Client,
+    FakeCounter,
+    FakeEndpoint,
+    HttpClient,
     Message,
-    Tally,
-    front_door,
-    http_answer,
+    http_response,
     listening,
     read_message,
     run,
+    running_gateway,
     send_on,
     until,
 )
@@ -50,11 +50,11 @@
 
 def test_a_request_is_served_with_its_headers_and_body_unchanged() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"got " + message.body))
+        backend = FakeEndpoint(lambda message: http_response(body=b"got " + message.body))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             ready = await client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert ready.status == 200
@@ -76,7 +76,10 @@
         def react(event: Any) -> list[Action]:
             return [Reject(event.request_id, 0.25)] if isinstance(event, Request) else []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=react) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             answer = await client.ask(
                 2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
             )
@@ -115,11 +118,11 @@
     cls: int, header: str, value: str, status: int
 ) -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeEndpoint()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             bad = client.request(cls, 4000, b"", **{header: value})
             assert (await client.send(bad)).status == status
@@ -130,7 +133,10 @@
 
 def test_bytes_that_are_no_request_are_answered_and_end_the_connection() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             assert (await client.send(b"\x00\x01 nonsense\r\n\r\n")).status == 400
             assert await client.reader.read() == b""
             assert not script.events
@@ -141,7 +147,10 @@
 @pytest.mark.parametrize("target", [b"http://[::", b"/\xff?customer=0000000000000005", b"*"])
 def test_a_malformed_target_is_the_clients_fault(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             answer = await client.send(b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
             assert answer.status in (400, 404) and not script.events
 
@@ -151,7 +160,10 @@
 
 def test_a_trailer_does_not_stand_in_for_a_header() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             head = client.request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
             answer = await client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
             assert answer.status == 400 and not script.events
@@ -161,11 +173,11 @@
 
 def test_pipelined_requests_are_bounded() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MOST_BODY))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MOST_BODY))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             client.writer.write(b"".join(client.request() for _ in range(100)))
             answers = [await read_message(client.reader) for _ in range(MOST_PIPELINED + 1)]
@@ -179,13 +191,13 @@
 
 def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MOST_BODY))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MOST_BODY))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
         ):
-            (served,) = door.server.clients
+            (served,) = door.listener.connections
             transport = served.transport
             assert transport is not None
             asked = 0
@@ -204,13 +216,13 @@
 
 def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MOST_BODY))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MOST_BODY))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
         ):
-            (served,) = door.server.clients
+            (served,) = door.listener.connections
             transport = served.transport
             assert transport is not None
             while transport.is_reading():
@@ -218,7 +230,7 @@
                 client.writer.write(client.request())
                 await until(lambda seen=seen: len(backend.seen) > seen and not served.pending)  # type: ignore[misc]
             served.since -= IDLE_TIMEOUT
-            await until(lambda: not door.server.clients)
+            await until(lambda: not door.listener.connections)
 
     run(test())
 
@@ -234,7 +246,10 @@
                     return [Reject(held[1].request_id, 0.0), Fail(held[0].request_id)]
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=react) as (door, _),
+            HttpClient(door.listener) as client,
+        ):
             first = await client.send(client.request() + client.request())
             assert MOST_PIPELINED >= 2
             assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
@@ -244,23 +259,23 @@
 
 def test_a_client_that_goes_away_is_told_to_the_module_and_its_attempt_runs_on() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: None)
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, script):
-            async with Client(door.server) as client:
+        backend = FakeEndpoint(lambda message: None)
+        async with listening(backend.handle) as dial, running_gateway(dial, react=send_on) as (door, script):
+            async with HttpClient(door.listener) as client:
                 client.writer.write(client.request())
                 await until(lambda: backend.seen)
             await until(lambda: script.of(ClientDisconnected))
-            assert backend.open == 1 and not script.outcomes() and door.host.table
+            assert backend.open == 1 and not script.outcomes() and door.driver.open_requests
 
     run(test())
 
 
 def test_outcomes_tell_what_never_ran() -> None:
     replies: list[tuple[bytes, Outcome]] = [
-        (http_answer(500), Outcome.ERROR),
-        (http_answer(503, Not_Started="1"), Outcome.OVERLOADED),
-        (http_answer(504, Not_Started="1"), Outcome.OVERLOADED),
-        (http_answer(503), Outcome.ERROR),  # no proof that it never ran
+        (http_response(500), Outcome.ERROR),
+        (http_response(503, Not_Started="1"), Outcome.OVERLOADED),
+        (http_response(504, Not_Started="1"), Outcome.OVERLOADED),
+        (http_response(503), Outcome.ERROR),  # no proof that it never ran
         (b"", Outcome.RESET),  # closed after the whole request was written
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf", Outcome.RESET),
         (b"what?\r\n\r\n", Outcome.ERROR),  # framing is lost, and it may have run
@@ -268,11 +283,11 @@
 
     async def test() -> None:
         for reply, expected in replies:
-            backend = Backend(lambda message, reply=reply: reply)  # type: ignore[misc]
+            backend = FakeEndpoint(lambda message, reply=reply: reply)  # type: ignore[misc]
             async with (
                 listening(backend.handle) as dial,
-                front_door(dial, react=send_on) as (door, script),
-                Client(door.server) as client,
+                running_gateway(dial, react=send_on) as (door, script),
+                HttpClient(door.listener) as client,
             ):
                 assert (await client.ask(2)).status == 502
                 # One attempt each: nothing is sent again silently.
@@ -288,15 +303,15 @@
     """
 
     async def test() -> None:
-        backend = Backend(lambda message: None)
+        backend = FakeEndpoint(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             waiting = asyncio.create_task(client.ask(2))
             await until(lambda: backend.seen)
-            (link,) = door.host.upstream.pools[FIRST].links
+            (link,) = door.driver.upstream.pools[FIRST].links
             if unsent:
                 link.pause_writing()
             link.abort()
@@ -308,9 +323,12 @@
 
 def test_a_refused_connection_never_ran() -> None:
     async def test() -> None:
-        async with listening(Backend().handle) as dial:
+        async with listening(FakeEndpoint().handle) as dial:
             pass
-        async with front_door(dial, react=send_on) as (door, script), Client(door.server) as client:
+        async with (
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
+        ):
             assert (await client.ask(2)).status == 502
             assert script.outcomes() == [Outcome.CONNECT_FAILED]
 
@@ -330,7 +348,10 @@
                 with contextlib.suppress(BlockingIOError):
                     filler.connect(silent.getsockname())
             dial = f"127.0.0.1:{silent.getsockname()[1]}"
-            async with front_door(dial, react=send_on) as (door, script), Client(door.server) as client:
+            async with (
+                running_gateway(dial, react=send_on) as (door, script),
+                HttpClient(door.listener) as client,
+            ):
                 began = time.monotonic()
                 assert (await client.ask(2)).status == 502
                 assert script.outcomes() == [Outcome.CONNECT_FAILED]
@@ -341,11 +362,11 @@
 
 def test_a_stale_pooled_connection_ends_as_reset_and_is_not_sent_again() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x") if len(backend.seen) < 2 else b"")
+        backend = FakeEndpoint(lambda message: http_response(body=b"x") if len(backend.seen) < 2 else b"")
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask(2)).status == 200
             assert (await client.ask(2)).status == 502
@@ -357,12 +378,12 @@
 
 def test_connections_are_kept_and_connection_close_is_honoured() -> None:
     async def test() -> None:
-        answers = [http_answer(), http_answer(Connection="close"), http_answer()]
-        backend = Backend(lambda message: answers[len(backend.seen) - 1])
+        answers = [http_response(), http_response(Connection="close"), http_response()]
+        backend = FakeEndpoint(lambda message: answers[len(backend.seen) - 1])
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             for opened in (1, 1, 2):
                 assert (await client.ask()).status == 200
@@ -373,36 +394,38 @@
 
 def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeEndpoint()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask()).status == 200
             assert backend.open == 1
-            pool = door.host.upstream.pools[FIRST]
+            pool = door.driver.upstream.pools[FIRST]
             pool.idle[0].idle_since -= 16.0  # the backends' idle time is 30 s
-            door.host.upstream.timer.cancel()
-            door.host.upstream.sweep()
+            door.driver.upstream.timer.cancel()
+            door.driver.upstream.close_expired_connections()
             await until(lambda: backend.open == 0)
-            assert not pool.links and door.host.upstream.open == 0
+            assert not pool.links and door.driver.upstream.open_connections == 0
 
     run(test())
 
 
 def test_a_restarted_backend_gets_new_connections() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeEndpoint()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask()).status == 200
-            (address,) = [pool.address for pool in door.host.upstream.pools.values()]
+            (address,) = [pool.address for pool in door.driver.upstream.pools.values()]
             entry = EndpointRecord(FIRST, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
-            door.host.members(EndpointUpdate(UpdateKind.DELTA, 42, (entry,)), {FIRST: address})
+            door.driver.apply_endpoint_update(
+                EndpointUpdate(UpdateKind.DELTA, 42, (entry,)), {FIRST: address}
+            )
             await until(lambda: backend.open == 0)
             assert (await client.ask()).status == 200
             assert backend.opened == 2
@@ -413,11 +436,11 @@
 def test_load_reports_come_in_the_order_of_the_settings() -> None:
     async def test() -> None:
         loads = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
-        backend = Backend(lambda message: http_answer(Server_Load=loads[len(backend.seen) - 1]))
+        backend = FakeEndpoint(lambda message: http_response(Server_Load=loads[len(backend.seen) - 1]))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             for _ in loads:
                 assert (await client.ask()).status == 200
@@ -432,11 +455,11 @@
         def react(event: Any) -> list[Action]:
             return [Probe(FIRST), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
 
-        backend = Backend(lambda message: http_answer(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
+        backend = FakeEndpoint(lambda message: http_response(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=react) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask()).status == 503
             await until(lambda: script.of(ProbeFinished))
@@ -469,18 +492,18 @@
                 return [StartAttempt(event.request_id, 2, 0.0)]
             return []
 
-        silent = Backend(lambda message: None)
+        silent = FakeEndpoint(lambda message: None)
         open_then: list[int] = []
 
         def serve(message: Message) -> bytes:
             open_then.append(silent.open)
-            return http_answer(body=b"second")
+            return http_response(body=b"second")
 
         async with (
             listening(silent.handle) as first,
-            listening(Backend(serve).handle) as second,
-            front_door(first, second, react=react, caps__second_copies="false") as (door, script),
-            Client(door.server) as client,
+            listening(FakeEndpoint(serve).handle) as second,
+            running_gateway(first, second, react=react, caps__second_copies="false") as (door, script),
+            HttpClient(door.listener) as client,
         ):
             answer = await client.ask()
             assert (answer.status, answer.body, open_then) == (200, b"second", [0])
@@ -496,12 +519,12 @@
     async def test() -> None:
         customer = in_mid_window()
         async with (
-            listening(Backend().handle) as dial,
-            listening(Tally().handle) as counter,
-            front_door(dial, counter=counter) as (one, _),
-            front_door(dial, counter=counter) as (other, _),
-            Client(one.server, customer) as first,
-            Client(other.server, customer) as second,
+            listening(FakeEndpoint().handle) as dial,
+            listening(FakeCounter().handle) as counter,
+            running_gateway(dial, counter=counter) as (one, _),
+            running_gateway(dial, counter=counter) as (other, _),
+            HttpClient(one.listener, customer) as first,
+            HttpClient(other.listener, customer) as second,
         ):
             began = time.monotonic()
             served = 0
@@ -526,22 +549,22 @@
                 if "costly" in message.headers.get("idempotency-key", ""):
                     costly.append(message)
                     await release.wait()
-                writer.write(http_answer(body=b"done"))
+                writer.write(http_response(body=b"done"))
 
         async with (
             listening(handle) as first,
             listening(handle) as second,
-            front_door(
+            running_gateway(
                 first,
                 second,
                 tariffs__0__quota_rate="0",
                 caps__second_copies="false",
                 classes__1__dedup_scope="all",
             ) as (door, _),
-            Client(door.server) as client,
-            Client(door.server) as other,
+            HttpClient(door.listener) as client,
+            HttpClient(door.listener) as other,
         ):
-            gateway = door.host.gateway
+            gateway = door.driver.policy
             asked = asyncio.ensure_future(client.ask(1, Idempotency_Key="costly"))
             await until(lambda: costly)
             sent = time.monotonic()
@@ -558,15 +581,18 @@
 # Guards against a handful of attempts in the last millisecond of a request, each at the cost of a connection.
 def test_an_attempt_that_ran_into_the_deadline_is_not_followed_by_others() -> None:
     async def test() -> None:
-        silent = Backend(lambda message: None)
+        silent = FakeEndpoint(lambda message: None)
         async with (
             listening(silent.handle) as first,
             listening(silent.handle) as second,
-            front_door(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (door, _),
+            running_gateway(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (
+                door,
+                _,
+            ),
         ):
 
             async def ask(customer: int) -> int:
-                async with Client(door.server, customer) as client:
+                async with HttpClient(door.listener, customer) as client:
                     return (await client.ask(timeout_ms=150 + customer)).status
 
             statuses = await asyncio.gather(*(ask(customer) for customer in range(8)))
@@ -579,23 +605,26 @@
 # Guards against backends that take requests and answer none.
 def test_what_a_silent_backend_holds_is_sent_again_once_its_connection_has_ended() -> None:
     async def test() -> None:
-        seen: list[Backend] = []
+        seen: list[FakeEndpoint] = []
 
         def serve(at: int) -> Callable[[Message], bytes | None]:
             def answer(message: Message) -> bytes | None:
                 seen.append(backends[at])
-                return None if seen[0] is backends[at] else http_answer(body=b"done")
+                return None if seen[0] is backends[at] else http_response(body=b"done")
 
             return answer
 
-        backends = [Backend(serve(0)), Backend(serve(1))]
+        backends = [FakeEndpoint(serve(0)), FakeEndpoint(serve(1))]
         async with (
             listening(backends[0].handle) as first,
             listening(backends[1].handle) as second,
-            front_door(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (door, _),
-            Client(door.server) as client,
+            running_gateway(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (
+                door,
+                _,
+            ),
+            HttpClient(door.listener) as client,
         ):
-            door.host.gateway.usual[0] = door.host.gateway.latency = 0.02
+            door.driver.policy.usual[0] = door.driver.policy.latency = 0.02
             answer = await client.ask()
             assert (answer.status, answer.body) == (200, b"done")
             assert len(seen) == 2 and seen[0] is not seen[1] and seen[0].open == 0
@@ -613,11 +642,11 @@
                 ]
             return []
 
-        backend = Backend()
+        backend = FakeEndpoint()
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react, caps__second_copies="false") as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=react, caps__second_copies="false") as (door, script),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask()).status == 200
             assert script.outcomes() == [Outcome.NOT_STARTED, Outcome.OK] and len(backend.seen) == 1
@@ -630,18 +659,18 @@
         def react(event: Any) -> list[Action]:
             return [StartAttempt(event.request_id, FIRST, 0.0)] if isinstance(event, Request) else []
 
-        backend = Backend(lambda message: None)
+        backend = FakeEndpoint(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=react) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             began = time.monotonic()
             assert (await client.ask(2, 300)).status == 504
             assert time.monotonic() - began < 0.35  # its deadline, and the 50 ms that the rule allows beyond
             # The attempt was given up before the deadline, and nothing is left behind.
             assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(ClientDisconnected)) == 1
-            assert not door.host.table and door.host.waiting == 0
+            assert not door.driver.open_requests and door.driver.unanswered == 0
 
     run(test())
 
@@ -655,16 +684,16 @@
                 raise RuntimeError("another")
             return send_on(event)
 
-        backend = Backend(lambda message: http_answer(500 if len(backend.seen) == 1 else 200))
+        backend = FakeEndpoint(lambda message: http_response(500 if len(backend.seen) == 1 else 200))
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=react) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask(0)).status == 503  # it never ran, so this is true
             assert (await client.ask(2)).status == 502  # it may have run
             assert (await client.ask(2)).status == 200
-            assert not door.host.table
+            assert not door.driver.open_requests
 
     run(test())
     assert (
@@ -682,13 +711,16 @@
 
         def react(event: Any) -> list[Action]:
             if isinstance(event, Request):
-                due.update({n: door.host.now + n * 0.0017 for n in range(40)})
+                due.update({n: door.driver.now + n * 0.0017 for n in range(40)})
                 return [SetTimer(at, n) for n, at in due.items()]
             if isinstance(event, TimerFired):
-                fired.append((event.token, door.host.now))
+                fired.append((event.token, door.driver.now))
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
+        async with (
+            running_gateway("127.0.0.1:1", react=react) as (door, _),
+            HttpClient(door.listener) as client,
+        ):
             client.writer.write(client.request())
             await until(lambda: len(fired) == 40)
             assert all(at >= due[n] for n, at in fired)
@@ -698,13 +730,13 @@
 
 def test_descriptors_are_bounded_and_surplus_clients_are_refused() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.most_clients = 2
-            async with Client(door.server) as one, Client(door.server) as two:
+        async with running_gateway("127.0.0.1:1", react=lambda event: []) as (door, script):
+            door.listener.max_connections = 2
+            async with HttpClient(door.listener) as one, HttpClient(door.listener) as two:
                 for busy in (one, two):
                     busy.writer.write(busy.request())
                 await until(lambda: len(script.of(Request)) == 2)
-                async with Client(door.server) as three:
+                async with HttpClient(door.listener) as three:
                     answer = await three.ask()
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
                 assert len(script.of(Request)) == 2
@@ -719,16 +751,16 @@
                 return [StartAttempt(event.request_id, event.class_index + 1, 0.0)]
             return send_on(event)
 
-        one, two = Backend(), Backend(lambda message: None)
+        one, two = FakeEndpoint(), FakeEndpoint(lambda message: None)
         async with (
             listening(one.handle) as first,
             listening(two.handle) as second,
             listening(two.handle) as third,
-            front_door(first, second, third, react=react) as (door, script),
-            Client(door.server) as client,
-            Client(door.server) as other,
+            running_gateway(first, second, third, react=react) as (door, script),
+            HttpClient(door.listener) as client,
+            HttpClient(door.listener) as other,
         ):
-            door.host.upstream.most_open = 1
+            door.driver.upstream.max_connections = 1
             assert (await client.ask(0)).status == 200
             client.writer.write(client.request(1))  # the idle connection to the first makes room
             await until(lambda: two.seen)
@@ -746,10 +778,10 @@
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             await go.wait()
-            writer.write(http_answer(body=b"late"))
+            writer.write(http_response(body=b"late"))
             await asyncio.sleep(5)
 
-        backend = Backend()
+        backend = FakeEndpoint()
 
         def react(event: Any) -> list[Action]:
             if isinstance(event, Request):
@@ -759,15 +791,15 @@
         async with (
             listening(backend.handle) as first,
             listening(slow) as second,
-            front_door(first, second, react=react) as (door, script),
-            Client(door.server) as held,
-            Client(door.server) as client,
+            running_gateway(first, second, react=react) as (door, script),
+            HttpClient(door.listener) as held,
+            HttpClient(door.listener) as client,
         ):
             waiting = asyncio.create_task(held.ask(2))
             await until(lambda: script.of(Request))
             drained = asyncio.create_task(door.drain())
             await asyncio.sleep(0)
-            async with Client(door.server) as late:  # connections go on coming for a while
+            async with HttpClient(door.listener) as late:  # connections go on coming for a while
                 assert (await late.ask()).status == 200
             assert (await client.ask()).status == 200
             assert await client.reader.read() == b""  # closed between requests
@@ -781,15 +813,15 @@
 
 def test_what_cannot_finish_before_sigkill_gets_a_truthful_answer() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: None)
+        backend = FakeEndpoint(lambda message: None)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=lambda e: send_on(e) if isinstance(e, Request) else []) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=lambda e: send_on(e) if isinstance(e, Request) else []) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             waiting = asyncio.create_task(client.ask(2, 60_000))
             await until(lambda: backend.seen)
-            door.drain_time = 0.7
+            door.drain_timeout = 0.7
             await door.drain()
             assert (await waiting).status == 504
 
@@ -799,16 +831,16 @@
 # Guards the leases against connections that break: what fails at once does not tell of a crowded counter.
 def test_calls_to_a_counter_go_on_at_their_pace_while_its_connections_break() -> None:
     async def test() -> None:
-        tally = Tally(lambda number, call: b"?\r\n" if number % 4 == 3 else None)
+        tally = FakeCounter(lambda number, call: b"?\r\n" if number % 4 == 3 else None)
         async with (
             listening(tally.handle) as counter,
-            listening(Backend().handle) as dial,
-            front_door(dial, counter=counter) as (door, _),
+            listening(FakeEndpoint().handle) as dial,
+            running_gateway(dial, counter=counter) as (door, _),
         ):
-            gateway = door.host.gateway
+            gateway = door.driver.policy
             pace = gateway.pace.pace
             for customer in range(1, 80):
-                async with Client(door.server, customer) as client:
+                async with HttpClient(door.listener, customer) as client:
                     assert (await client.ask()).status == 200
             assert tally.opened > 6 and gateway.pace.failing > 0
             assert gateway.pace.pace >= pace
@@ -821,18 +853,18 @@
 
     async def test() -> None:
         customer = in_mid_window()
-        tally, backend = Tally(), Backend()
+        tally, backend = FakeCounter(), FakeEndpoint()
         async with (
             listening(tally.handle) as counter,
             listening(backend.handle) as dial,
-            front_door(dial, counter=counter) as (door, _),
-            front_door(dial, counter=counter) as (other, _),
-            Client(door.server, customer) as client,
-            Client(other.server, customer) as second,
+            running_gateway(dial, counter=counter) as (door, _),
+            running_gateway(dial, counter=counter) as (other, _),
+            HttpClient(door.listener, customer) as client,
+            HttpClient(other.listener, customer) as second,
         ):
             assert (await client.ask()).status == 200
             assert (await second.ask()).status == 200
-            assert abs(door.host.now - time.time()) < 5
+            assert abs(door.driver.now - time.time()) < 5
             names = [name for _, name, *_ in tally.calls]
             assert len(names) >= 3 and len(set(names)) == 1  # a lease each, and the first one tops up
 
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -18,12 +18,12 @@
 
 from gateway.counter.client import LINES
 from tests.support.sockets import (
-    Agent,
-    Backend,
-    Tally,
+    FakeCounter,
+    FakeDiscoveryAgent,
+    FakeEndpoint,
     config_text,
     host_line,
-    http_answer,
+    http_response,
     listening,
     read_message,
     run,
@@ -75,7 +75,7 @@
 
 def test_it_starts_becomes_ready_and_ends_on_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
-        backend, agent = Backend(lambda message: http_answer()), Agent()
+        backend, agent = FakeEndpoint(lambda message: http_response()), FakeDiscoveryAgent()
         async with listening(backend.handle) as dial, listening(agent.handle) as discovery:
             host = host_line("s-00000001", dial)
             agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
@@ -94,8 +94,8 @@
 # ends or leaves without any.
 def test_sighup_moves_discovery_and_counter_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        agents, tallies = [Agent(), Agent()], [Tally(), Tally()]
-        backend = Backend(lambda message: http_answer())
+        agents, tallies = [FakeDiscoveryAgent(), FakeDiscoveryAgent()], [FakeCounter(), FakeCounter()]
+        backend = FakeEndpoint(lambda message: http_response())
         async with contextlib.AsyncExitStack() as stack:
             host = host_line("s-00000001", await stack.enter_async_context(listening(backend.handle)))
             discovery = [await stack.enter_async_context(listening(a.handle)) for a in agents]
@@ -142,7 +142,7 @@
             return time.monotonic() - began
 
     async def test() -> None:
-        agent, tally = Agent(), Tally()
+        agent, tally = FakeDiscoveryAgent(), FakeCounter()
         hosts = [host_line("s-00000001", "127.0.0.1:1")]
         agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": hosts}).encode()
         async with contextlib.AsyncExitStack() as stack:
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -71,29 +71,29 @@
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
 
-def entry(
+def make_record(
     backend: int, *, cell: int = 0, started: float = 0.0, state: EndpointState = EndpointState.READY
 ) -> EndpointRecord:
     return EndpointRecord(backend, 0, started, state, 0, cell, 1.0)
 
 
-def request(
+def make_request(
     rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0, width: int = 3
 ) -> Request:
     return Request(rid, cls, plan, customer, left, 1.0, width, 0, False, False)
 
 
-def done(
+def make_finished(
     rid: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
 ) -> AttemptFinished:
     return AttemptFinished(rid, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
 
 
-def sends(actions: Iterable[Action]) -> list[StartAttempt]:
+def started_attempts(actions: Iterable[Action]) -> list[StartAttempt]:
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-class Counter:
+class FakeCounter:
     """A shared counter as the deployments run it; `lose` forgets everything.  While it is `late` it adds, and
     its answers come too late.
     """
@@ -117,14 +117,14 @@
         return CounterReply(call.name, Outcome.OK, self.totals[call.name], 0.001)
 
 
-def gateway(backends: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
+def make_policy(backends: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
     made = Policy(parse_settings(text(**changes)), seed)
-    listed = tuple(backends) or tuple(entry(n, cell=n % 2) for n in range(1, 7))
+    listed = tuple(backends) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
     made.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
     return made
 
 
-def play(made: Policy, counter: Counter, now: float, event: Event) -> list[Action]:
+def run_event(made: Policy, counter: FakeCounter, now: float, event: Event) -> list[Action]:
     """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
     found = made.handle(now, event)
     at = 0
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -82,17 +82,17 @@
     return Message(head[0], headers, body)
 
 
-def http_answer(status: int = 200, body: bytes = b"", **headers: str) -> bytes:
+def http_response(status: int = 200, body: bytes = b"", **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 @dataclass
-class Backend:
+class FakeEndpoint:
     """Answers each request with what `answer` makes of it; None keeps silent."""
 
-    answer: Callable[[Message], bytes | None] = lambda message: http_answer(body=b"done")
+    answer: Callable[[Message], bytes | None] = lambda message: http_response(body=b"done")
     seen: list[Message] = field(default_factory=list)
     opened: int = 0
     open: int = 0
@@ -113,7 +113,7 @@
 
 
 @dataclass
-class Tally:
+class FakeCounter:
     """A counter; `reply` may stand in for the answer to the call with that number."""
 
     reply: Callable[[int, list[bytes]], bytes | None] | None = None
@@ -147,7 +147,7 @@
 
 
 @dataclass
-class Agent:
+class FakeDiscoveryAgent:
     """Discovery: the whole list, then a watch that gets the lines put into `lines`, one chunk a line."""
 
     lines: list[bytes] = field(default_factory=list)
@@ -159,7 +159,7 @@
         self.open += 1
         try:
             self.targets.append((await read_message(reader)).start.split()[1])
-            writer.write(http_answer(body=self.whole))
+            writer.write(http_response(body=self.whole))
             self.targets.append((await read_message(reader)).start.split()[1])
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             ended = asyncio.ensure_future(reader.read())
@@ -216,16 +216,16 @@
     return parse(config_text(known, counter, discovery, **changes), {})
 
 
-class Client:
+class HttpClient:
     """A client's connection to a front door."""
 
     def __init__(self, server: Listener, customer: int = 5) -> None:
         self.customer = customer
-        assert server.server is not None
-        self.port = server.server.sockets[0].getsockname()[1]
+        assert server.socket_server is not None
+        self.port = server.socket_server.sockets[0].getsockname()[1]
         self.count = 0
 
-    async def __aenter__(self) -> Client:
+    async def __aenter__(self) -> HttpClient:
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         return self
 
@@ -263,7 +263,7 @@
 FIRST = 0x00000001
 
 
-class Script:
+class ScriptedPolicy:
     """Stands in for the module: `react` gives the actions for each event."""
 
     def __init__(self, react: Callable[[Any], list[Action]]) -> None:
@@ -286,15 +286,15 @@
 
 
 @contextlib.asynccontextmanager
-async def front_door(
+async def running_gateway(
     *dials: str, react: Callable[[Any], list[Action]] | None = None, counter: str = "", **changes: str
-) -> AsyncIterator[tuple[GatewayProcess, Script]]:
+) -> AsyncIterator[tuple[GatewayProcess, ScriptedPolicy]]:
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
     door = GatewayProcess(config(known, counter, **changes))
-    door.list_wait = 0.0  # these have no discovery
-    script = Script(react or (lambda event: []))
+    door.endpoint_list_timeout = 0.0  # these have no discovery
+    script = ScriptedPolicy(react or (lambda event: []))
     if react is not None:
-        door.host.gateway = script  # type: ignore[assignment]
+        door.driver.policy = script  # type: ignore[assignment]
     await door.start()
     try:
         yield door, script
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from gateway.config import OTHER_SOCKETS, Address, Bounds, ConfigError, parse
+from gateway.config import OTHER_SOCKETS, Address, ConfigError, ResourceLimits, parse
 from gateway.settings_parser import parse_settings
 from tests.support.policy import text
 from tests.support.sockets import config_text
@@ -21,7 +21,7 @@
     config = parse(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
     expected = parse_settings(text(report__columns="latency_ms,util"))
     assert config.settings == expected
-    assert (config.kinds, config.conn_idle, config.seed) == (("m2",), 30.0, 0x8C1F)
+    assert (config.machine_types, config.endpoint_idle_timeout, config.seed) == (("m2",), 30.0, 0x8C1F)
     assert config.counter == Address("127.0.0.1", 6400)
 
 
@@ -74,7 +74,7 @@
 # requests, each of which may need a connection to a backend.
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(256, 32), (1024, 192)])
 def test_bounds_follow_the_limits(sockets: int, memory_mb: int) -> None:
-    bounds = Bounds.of(sockets, memory_mb)
-    assert min(bounds.clients, bounds.upstream) > sockets / 3
-    assert bounds.clients + bounds.surplus + bounds.upstream + OTHER_SOCKETS <= sockets
-    assert bounds.held <= memory_mb * (1 << 20) / 8
+    bounds = ResourceLimits.of(sockets, memory_mb)
+    assert min(bounds.max_clients, bounds.max_upstream) > sockets / 3
+    assert bounds.max_clients + bounds.surplus_clients + bounds.max_upstream + OTHER_SOCKETS <= sockets
+    assert bounds.max_buffered_bytes <= memory_mb * (1 << 20) / 8
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -10,8 +10,8 @@
 
 ROOT = Path(__file__).parent.parent
 POLICY_PACKAGE = ROOT / "gateway" / "policy"
-MODULE = POLICY_PACKAGE / "engine.py"
-POLICY = [MODULE, *(POLICY_PACKAGE / name for name in ("counter_rate_limiter.py", "subsetting.py"))]
+TYPES = ("settings.py", "events.py", "actions.py")  # what the policy is told, hears and answers: no decisions
+POLICY = sorted(path for path in POLICY_PACKAGE.glob("*.py") if path.name not in ("__init__.py", *TYPES))
 MOST_LINES = 1200  # of all policy files, blank ones not counted: the operators run no longer module
 
 
@@ -19,7 +19,8 @@
     texts = [path.read_text().splitlines() for path in POLICY]
     assert sum(1 for lines in texts for line in lines if line.strip()) <= MOST_LINES
     assert max(len(line) for lines in texts for line in lines) <= 110
-    assert "gateway/policy/{settings,events,actions}.py" in texts[0][0]
+    engine = (POLICY_PACKAGE / "engine.py").read_text().splitlines()
+    assert "gateway/policy/{settings,events,actions}.py" in engine[0]
 
 
 def test_the_module_imports_the_standard_library_and_the_interface_only() -> None:
@@ -31,7 +32,7 @@
             names.add(node.module or "")
     outside = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names and n != "__future__"}
     own = {f"gateway.policy.{path.stem}" for path in POLICY}
-    assert outside <= {f"gateway.policy.{name}" for name in ("settings", "events", "actions")} | own
+    assert outside <= {f"gateway.policy.{Path(name).stem}" for name in TYPES} | own
     assert not names & {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 
@@ -49,5 +50,5 @@
 
 def test_the_deploy_file_names_the_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert [ROOT / path for path in deploy["policy"]] == POLICY
+    assert sorted(ROOT / path for path in deploy["policy"]) == POLICY
     assert "gateway.simulator.adapter" in deploy["sim"]
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -15,21 +15,21 @@
 from gateway.upstream import client as upstream
 from tests.support.sockets import (
     FIRST,
-    Backend,
-    Client,
+    FakeEndpoint,
+    HttpClient,
     Message,
-    front_door,
-    http_answer,
+    http_response,
     listening,
     read_message,
     run,
+    running_gateway,
     send_on,
     until,
 )
 
 
 def echo(message: Message) -> bytes:
-    return http_answer(body=message.headers["request-id"].encode())
+    return http_response(body=message.headers["request-id"].encode())
 
 
 def in_turn() -> Callable[[Any], list[Action]]:
@@ -52,16 +52,16 @@
 # Guards against passing on what stands behind an answer as the answer to the next request: that one is
 # started by the news of the first, on a connection that still brings a second copy or noise.
 @pytest.mark.parametrize(
-    "behind", [http_answer(body=b"a second copy"), b"\x00\x01 noise", b"HTTP/1.1 2"], ids=range(3)
+    "behind", [http_response(body=b"a second copy"), b"\x00\x01 noise", b"HTTP/1.1 2"], ids=range(3)
 )
 def test_what_stands_behind_an_answer_is_not_the_next_ones(behind: bytes) -> None:
     async def test() -> None:
-        backend = Backend(lambda message: echo(message) + behind)
+        backend = FakeEndpoint(lambda message: echo(message) + behind)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=in_turn()) as (door, script),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            running_gateway(dial, react=in_turn()) as (door, script),
+            HttpClient(door.listener) as one,
+            HttpClient(door.listener) as two,
         ):
             one.writer.write(one.request(Request_Id="one"))
             two.writer.write(two.request(Request_Id="two"))
@@ -86,19 +86,19 @@
 
         async with (
             listening(handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, _),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask(Request_Id="one")).body == b"one"
-            (pool,) = door.host.upstream.pools.values()
+            (pool,) = door.driver.upstream.pools.values()
             (link,) = pool.idle
             assert link.usable()
             # No step of the loop lies between these: the bytes are in the socket, not yet read.
-            writers[0].write(http_answer(body=b"a late second copy"))
+            writers[0].write(http_response(body=b"a late second copy"))
             assert not link.usable()
             results: list[Any] = []
             payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-            door.host.upstream.start(FIRST, payload, 1.0, results.append)
+            door.driver.upstream.start_attempt(FIRST, payload, 1.0, results.append)
             await until(lambda: results)
             assert results[0].body == b"two"
 
@@ -125,9 +125,9 @@
 
         async with (
             listening(handle) as dial,
-            front_door(dial, react=in_turn()) as (door, script),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            running_gateway(dial, react=in_turn()) as (door, script),
+            HttpClient(door.listener) as one,
+            HttpClient(door.listener) as two,
         ):
             one.writer.write(one.request(Request_Id="one"))
             two.writer.write(two.request(Request_Id="two"))
@@ -146,15 +146,15 @@
     monkeypatch.setattr(upstream, "REST", 0.3)
 
     async def test() -> None:
-        backend = Backend(echo)
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, script):
-            async with Client(door.server) as client:
+        backend = FakeEndpoint(echo)
+        async with listening(backend.handle) as dial, running_gateway(dial, react=send_on) as (door, script):
+            async with HttpClient(door.listener) as client:
                 assert (await client.ask(Request_Id="one")).body == b"one"
                 client.writer.write(client.request(2, Request_Id="two"))
-                await until(lambda: door.host.upstream.pools[FIRST].waiting)
+                await until(lambda: door.driver.upstream.pools[FIRST].waiting)
             await until(lambda: script.of(ClientDisconnected))
             assert script.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
-            async with Client(door.server) as client:
+            async with HttpClient(door.listener) as client:
                 assert (await client.ask(Request_Id="three")).body == b"three"
             assert [m.headers["request-id"] for m in backend.seen] == ["one", "three"]
 
@@ -173,17 +173,17 @@
         b"HTTP/1.1 200 OK\r\nX-Pad: " + b"x" * 20_000,
         b"HTTP/1.1 100 Continue\r\n\r\n" * 1000,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"400\r\n" + b"x" * 1024 + b"\r\n" * 100,
-        b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + http_answer(),
+        b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + http_response(),
     ],
     ids=range(10),
 )
 def test_a_spoilt_answer_ends_its_attempt_at_once_and_may_have_run(spoilt: bytes) -> None:
     async def test() -> None:
-        backend = Backend(lambda message: spoilt)
+        backend = FakeEndpoint(lambda message: spoilt)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask()).status == 502
             # Not RESET, which keeps the module off a backend: spoilt answers come from well ones.
@@ -207,11 +207,11 @@
             head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
             return early + head.encode("latin-1") + b"done"
 
-        backend = Backend(answer)
+        backend = FakeEndpoint(answer)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             for _ in range(2):
                 served = await client.ask()
@@ -226,15 +226,15 @@
 # where it did: the new one is cold, and its kept answers are its own.
 def test_a_new_backend_at_an_old_address_does_not_get_the_old_ones_attempts() -> None:
     async def test() -> None:
-        backend = Backend(echo)
+        backend = FakeEndpoint(echo)
         async with (
             listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             assert (await client.ask()).status == 200
-            upstream = door.host.upstream
-            upstream.place(9, upstream.pools[FIRST].address, 0.0)
+            upstream = door.driver.upstream
+            upstream.set_endpoint(9, upstream.pools[FIRST].address, 0.0)
             await until(lambda: not backend.open)
             assert (await client.ask()).status == 502  # still meant for the old one
             assert script.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
@@ -266,13 +266,13 @@
 
         async with (
             listening(handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            running_gateway(dial, react=send_on) as (door, script),
+            HttpClient(door.listener) as client,
         ):
             answer = await client.ask(2)
             whole = end == "close"
             assert (answer.status, answer.body) == ((200, b"something") if whole else (502, b""))
             assert script.outcomes() == [Outcome.OK if whole else Outcome.RESET]
-            assert not door.host.upstream.pools[FIRST].idle
+            assert not door.driver.upstream.pools[FIRST].idle
 
     run(test())
