--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -1,4 +1,8 @@
-"""What a policy answers: the actions that its driver carries out, in order."""
+"""Actions that the policy answers an event with; its driver carries them out in order.
+
+Times are in seconds.  CloseIdle, SendToPeers, WatchEndpoints and FetchEndpoints belong to the simulator's
+wire; the policy never answers with them, and the gateway's driver supports none but CloseIdle.
+"""
 
 from __future__ import annotations
 
@@ -7,49 +11,61 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; ``timeout`` 0 means until the client gives up."""
+    """Forward a request to an endpoint.  The first response that serves goes to the client."""
 
     request_id: int
     endpoint_id: int
-    timeout: float
+    timeout: float  # 0: until the client gives up
 
 
 @dataclass(slots=True)
 class Reject:
+    """Answer a request with a rejection, which tells its client that a retry does no harm."""
+
     request_id: int
-    retry_after: float
+    retry_after: float  # 0: no advice
 
 
 @dataclass(slots=True)
 class Fail:
+    """Answer a request with a failure, which says nothing of what its attempts have done."""
+
     request_id: int
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Stop waiting for an attempt."""
+
     request_id: int
-    attempt: int
+    attempt: int  # counted from 0 for each request
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Ask for a TimerFired event at a time; a timer cannot be unset."""
+
     at: float
     token: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Check an endpoint's health and ask for its load report."""
+
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to an endpoint."""
+
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class SendToPeers:
-    """A message to one peer, or to all with ``peer`` None."""
+    """Send a message to one other gateway, or to all with `peer` None."""
 
     peer: int | None
     data: bytes
@@ -57,26 +73,30 @@
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
+    """Begin or end a watch on the endpoint list."""
+
     enabled: bool
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    pass
+    """Ask for the endpoint list once."""
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a named count; a new name is forgotten ``expires`` seconds after its first call."""
+    """Add to a named number of the counter; a CounterReply tells its total."""
 
     name: int
-    amount: float
-    expires_after: float
+    amount: float  # below 0: take off
+    expires_after: float  # counted from the call that made the name; later calls do not extend it
 
 
 Action = (
