--- a/scaletest/__init__.py
+++ b/scaletest/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on fleets of hollow front doors: the real decisions, with all around them emulated."""
+"""Scale experiments on fleets of hollow gateways: the real policy, with all around it emulated."""
--- a/scaletest/__main__.py
+++ b/scaletest/__main__.py
@@ -10,17 +10,19 @@
 import typer
 
 from scaletest import membership, report, result
-from scaletest.scenario import ScenarioError, load
+from scaletest.scenario import ScaletestError, load
 
 RESULTS = Path("results")
 SLOPES = {"membership": membership}  # by the scenario's name
+EXIT_UNUSABLE_INPUT = 2
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help=__doc__)
 
 
 def fail(text: str) -> NoReturn:
+    """End the program with one line on standard error."""
     typer.echo(f"scaletest: {' '.join(text.split())}", err=True)
-    raise typer.Exit(2)
+    raise typer.Exit(EXIT_UNUSABLE_INPUT)
 
 
 @app.command()
@@ -31,16 +33,17 @@
     """Measure a slope at all sizes of its scenario and save the result."""
     try:
         scenario = load(name)
-    except ScenarioError as error:
+    except ScaletestError as error:
         fail(str(error))
     if scenario.name not in SLOPES:
         fail(f"no slope is called {scenario.name}; there is {', '.join(SLOPES)}")
-    kind, began, machine, commit = SLOPES[scenario.name], result.now(), result.machine(), result.commit()
+    kind = SLOPES[scenario.name]
+    began, machine, commit = result.now(), result.current_machine(), result.current_commit()
     points = tuple(kind.measure(size, scenario) for size in scenario.sizes)
-    made = result.Result(
+    run = result.Result(
         scenario=scenario, at=began, commit=commit, machine=machine, units=kind.FIGURES, points=points
     )
-    typer.echo(result.save(made, out))
+    typer.echo(result.save(run, out))
 
 
 @app.command(name="report")
@@ -49,16 +52,17 @@
     results: Annotated[Path, typer.Option(help="the folder with results")] = RESULTS,
 ) -> None:
     """Write a result's table and plot beside it, and print the table."""
-    found = [file] if file else sorted(results.glob("*.json"), key=lambda path: path.stat().st_mtime)
-    if not found:
+    files = [file] if file else sorted(results.glob("*.json"), key=lambda path: path.stat().st_mtime)
+    if not files:
         fail(f"no result in {results}")
+    newest = files[-1]
     try:
-        made = result.read(found[-1])
-    except ScenarioError as error:
+        run = result.read(newest)
+    except ScaletestError as error:
         fail(str(error))
-    text = report.table(made)
-    found[-1].with_suffix(".md").write_text(text, encoding="utf-8")
-    report.plot(made, found[-1].with_suffix(".png"))
+    text = report.table(run)
+    newest.with_suffix(".md").write_text(text, encoding="utf-8")
+    report.plot(run, newest.with_suffix(".png"))
     typer.echo(text)
 
 
--- a/scaletest/hollow_gateway.py
+++ b/scaletest/hollow_gateway.py
@@ -1,4 +1,4 @@
-"""Hollow front doors: the real decisions with settings and lists that are made up, many to a process."""
+"""Hollow gateways: the real policy with settings and endpoint lists that are made up, many to a process."""
 
 from __future__ import annotations
 
@@ -12,53 +12,98 @@
 from gateway.policy.settings import DedupScope, Effect, Limits, Plan, RequestClass, Rules, Settings
 from scaletest.scenario import Scenario, Size
 
-START = 1_000_000.0  # seconds: the emulated clock begins there
-LATENCY = 0.05  # seconds in which an emulated server answers
+START = 1_000_000.0  # where the emulated clock begins, in seconds
+LATENCY_SECONDS = 0.05  # in which an emulated endpoint answers
+ENDPOINT_IDS = 1 << 32  # as the endpoint list has them
 
+REQUEST_CLASS = RequestClass(
+    name="read", latency_objective=0.6, deadline=1.5, effect=Effect.IDEMPOTENT, dedup_scope=DedupScope.ALL,
+    dedup_window=5.0, priority_weight=1.0, late_weight=0.0, stream=False,
+)  # fmt: skip
+PLAN_WITHOUT_QUOTAS = Plan(
+    name="free", rate=0.0, burst=0.0, max_concurrency=0, price_weight=1.0, over_quota_cost=1.0,
+    over_quota_weight=0.0, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0,
+)  # fmt: skip
+RULES = Rules(
+    answer_slack=0.016, drain_grace=1.0, cold_capacity_fraction=0.15, slow_start_time=18.0,
+    cold_overload_multiple=3.0, cold_overload_window=1.0, poll_within=0.0,
+)  # fmt: skip
+LIMITS = Limits(
+    max_attempts=4, may_hedge=True, may_cancel=True, may_probe=False, may_tell_retry_after=True,
+    max_retry_after=1.0, connect_timeout=0.25,
+)  # fmt: skip
 
-def settings(size: Size, zones: int, me: int) -> Settings:
-    """What a front door of a fleet of that size is told.  No quotas: admission is another slope's matter."""
-    names = tuple(f"zone-{zone}" for zone in range(zones))
-    cls = RequestClass("read", 0.6, 1.5, Effect.IDEMPOTENT, DedupScope.ALL, 5.0, 1.0, 0.0, False)
-    plan = Plan("free", 0.0, 0.0, 0, 1.0, 1.0, 0.0, 0.0, 0.0, 0.0)
+
+def make_settings(size: Size, zones: int, gateway_index: int) -> Settings:
+    """Return what one gateway of a fleet of that size is told.
+
+    There are no quotas: what admission costs is not part of the slope of the endpoint list.
+    """
     return Settings(
-        gateway_index=me, gateway_count=size.doors, zone=me % zones, zones=names, period=0.002,
-        classes=(cls,), plans=(plan,),
-        rules=Rules(0.016, 1.0, 0.15, 18.0, 3.0, 1.0, 0.0),
-        limits=Limits(4, True, True, False, True, 1.0, 0.25), has_counter=False, counter_price=0.0,
-        counter_timeout=0.0, settles_usage=False, membership_push=True, weight_source="silent",
-        report_mode="silent", report_columns=(), prices={},
-    )  # fmt: skip
-
-
-def servers(size: Size, scenario: Scenario, random: np.random.Generator) -> tuple[EndpointRecord, ...]:
-    """A list of that many warm servers, with distinct ids that say nothing of order."""
-    ids = random.choice(1 << 32, size=size.servers, replace=False)
+        gateway_index=gateway_index,
+        gateway_count=size.gateways,
+        zone=gateway_index % zones,
+        zones=tuple(f"zone-{zone}" for zone in range(zones)),
+        period=0.002,
+        classes=(REQUEST_CLASS,),
+        plans=(PLAN_WITHOUT_QUOTAS,),
+        rules=RULES,
+        limits=LIMITS,
+        has_counter=False,
+        counter_price=0.0,
+        counter_timeout=0.0,
+        settles_usage=False,
+        membership_push=True,
+        weight_source="silent",
+        report_mode="silent",
+        report_columns=(),
+        prices={},
+    )
+
+
+def make_endpoints(size: Size, scenario: Scenario, random: np.random.Generator) -> tuple[EndpointRecord, ...]:
+    """Return a list of that many warm endpoints, with distinct ids that say nothing of order."""
+    endpoint_ids = random.choice(ENDPOINT_IDS, size=size.endpoints, replace=False)
     return tuple(
         EndpointRecord(
-            int(number), at % scenario.zones, 0.0, EndpointState.READY, 0, at % scenario.services, 1.0
+            endpoint_id=int(endpoint_id),
+            zone=index % scenario.zones,
+            started_at=0.0,
+            state=EndpointState.READY,
+            machine_type=0,
+            cell=index % scenario.services,
+            weight=1.0,
         )
-        for at, number in enumerate(ids)
+        for index, endpoint_id in enumerate(endpoint_ids)
     )
 
 
-def drained(entries: tuple[EndpointRecord, ...], random: np.random.Generator) -> EndpointRecord:
-    """One of the servers, drawn at random, as it is listed once it drains."""
-    return replace(entries[int(random.integers(len(entries)))], state=EndpointState.DRAINING)
+def make_draining(endpoints: tuple[EndpointRecord, ...], random: np.random.Generator) -> EndpointRecord:
+    """Return one of the endpoints, drawn at random, as it is listed once it drains."""
+    chosen = endpoints[int(random.integers(len(endpoints)))]
+    return replace(chosen, state=EndpointState.DRAINING)
 
 
-def front_door(size: Size, scenario: Scenario, me: int = 0) -> Policy:
-    return Policy(settings(size, scenario.zones, me), scenario.seed + me)
+def make_policy(size: Size, scenario: Scenario, gateway_index: int = 0) -> Policy:
+    """Return the policy of one gateway of the fleet."""
+    settings = make_settings(size, scenario.zones, gateway_index)
+    return Policy(settings, scenario.seed + gateway_index)
 
 
-def list_bytes(entries: tuple[EndpointRecord, ...]) -> int:
-    """The length of the whole list as discovery sends it, in bytes."""
-    hosts = [
-        {
-            "host": f"s-{e.endpoint_id:08x}", "dial": f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:8000",
-            "site": f"zone-{e.zone}", "class": "m2", "block": e.cell, "health": "Ready",
-            "share": e.weight, "born_ms": 0,
-        }
-        for at, e in enumerate(entries)
-    ]  # fmt: skip
+def list_bytes(endpoints: tuple[EndpointRecord, ...]) -> int:
+    """Return the length in bytes of the whole list as discovery sends it."""
+    hosts = [_wire_record(index, endpoint) for index, endpoint in enumerate(endpoints)]
     return len(json.dumps({"seq": 1, "whole": True, "hosts": hosts}, separators=(",", ":")))
+
+
+def _wire_record(index: int, endpoint: EndpointRecord) -> dict[str, object]:
+    return {
+        "host": f"s-{endpoint.endpoint_id:08x}",
+        "dial": f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8000",
+        "site": f"zone-{endpoint.zone}",
+        "class": "m2",
+        "block": endpoint.cell,
+        "health": "Ready",
+        "share": endpoint.weight,
+        "born_ms": 0,
+    }
--- a/scaletest/membership.py
+++ b/scaletest/membership.py
@@ -1,4 +1,4 @@
-"""The slope of the list of backends: what one front door's decisions spend on it as it grows."""
+"""The slope of the endpoint list: what the policy of one gateway spends on it as it grows."""
 
 from __future__ import annotations
 
@@ -27,96 +27,118 @@
 from scaletest.result import Point
 from scaletest.scenario import Scenario, Size
 
-# What is measured: figure, unit.
+# What is measured: figure, unit.  The names are those of the result files.
 FIGURES = {
-    "change": "ms of processor time for one changed server",
+    "change": "ms of processor time for one changed endpoint",
     "whole": "ms of processor time for a whole list that changes nothing",
     "first": "ms of processor time for a first whole list",
     "request": "us of processor time for a request and its outcome",
-    "memory": "bytes a server",
+    "memory": "bytes an endpoint",
     "list": "bytes of the whole list",
 }
+MIN_LIST_REPEATS = 3  # of the measurements that take a whole list, which are long
+LIST_REPEATS_DIVISOR = 8  # of the scenario's repeats, for these
+REQUEST_REPEATS_FACTOR = 10  # of the scenario's repeats, for requests, which are short
 
 log = structlog.get_logger()
 
 
-def spent(act: Callable[[], object]) -> float:
-    """Processor seconds of this process: other work on the machine counts for less than in wall time."""
+def measure(size: Size, scenario: Scenario) -> Point:
+    """Measure all figures of the slope at one size."""
+    random = np.random.default_rng([scenario.seed, size.endpoints])
+    endpoints = hollow_gateway.make_endpoints(size, scenario, random)
+    list_repeats = max(MIN_LIST_REPEATS, scenario.repeats // LIST_REPEATS_DIVISOR)
+    first = _median_time(
+        lambda index: partial(_take_list, hollow_gateway.make_policy(size, scenario, index), endpoints),
+        list_repeats,
+    )
+    policy = hollow_gateway.make_policy(size, scenario)
+    _take_list(policy, endpoints)
+    whole = _median_time(lambda _: partial(_take_list, policy, endpoints), list_repeats)
+    change = _median_time(_alternating_changes(policy, endpoints, random), scenario.repeats)
+    _take_list(policy, endpoints)
+    request = _median_time(partial(_request_at, policy), REQUEST_REPEATS_FACTOR * scenario.repeats)
+    point = Point(
+        endpoints=size.endpoints,
+        gateways=size.gateways,
+        figures={
+            "change": change * 1e3,
+            "whole": whole * 1e3,
+            "first": first * 1e3,
+            "request": request * 1e6,
+            "memory": _list_memory(size, scenario, endpoints) / size.endpoints,
+            "list": float(hollow_gateway.list_bytes(endpoints)),
+        },
+    )
+    log.info("measured", endpoints=size.endpoints, gateways=size.gateways, **point.figures)
+    return point
+
+
+def serve_request(policy: Policy, number: int, now: float) -> None:
+    """Hand over a request and let its first attempt succeed."""
+    request = Request(
+        request_id=number, class_index=0, plan_index=0, customer=number, time_remaining=1.5, units=1.0,
+        gateway_set_size=1, first_gateway=0, is_retry=False, is_write=False,
+    )  # fmt: skip
+    for action in policy.handle(now, request):
+        if isinstance(action, StartAttempt):
+            finished = AttemptFinished(
+                request_id=number, attempt=0, endpoint_id=action.endpoint_id, outcome=Outcome.OK,
+                request_closed=True, elapsed=hollow_gateway.LATENCY_SECONDS, charged_units=0,
+                metered_usage=0, load_report=(),
+            )  # fmt: skip
+            policy.handle(now + hollow_gateway.LATENCY_SECONDS, finished)
+
+
+def _processor_time(act: Callable[[], object]) -> float:
+    """Return the processor seconds that an act takes; other work counts for less than in wall time."""
     began = time.process_time()
     act()
     return time.process_time() - began
 
 
-def median(act: Callable[[int], Callable[[], object]], repeats: int) -> float:
-    """The median of what so many acts take; each is made, with what it needs, before it is timed."""
-    return float(np.median([spent(act(number)) for number in range(repeats)]))
+def _median_time(make_act: Callable[[int], Callable[[], object]], repeats: int) -> float:
+    """Return the median of what so many acts take; each is made, with what it needs, before it is timed."""
+    return float(np.median([_processor_time(make_act(number)) for number in range(repeats)]))
 
 
-def request(made: Policy, number: int, now: float) -> None:
-    """A request that is served at its first attempt."""
-    asked = Request(number, 0, 0, number, 1.5, 1.0, 1, 0, False, False)
-    for action in made.handle(now, asked):
-        if isinstance(action, StartAttempt):
-            took = hollow_gateway.LATENCY
-            made.handle(
-                now + took, AttemptFinished(number, 0, action.endpoint_id, Outcome.OK, True, took, 0, 0, ())
-            )
+def _take_list(policy: Policy, endpoints: tuple[EndpointRecord, ...]) -> None:
+    policy.handle(hollow_gateway.START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
 
 
-def measure(size: Size, scenario: Scenario) -> Point:
-    """All figures of the slope at one size."""
-    random = np.random.default_rng([scenario.seed, size.servers])
-    entries = hollow_gateway.servers(size, scenario, random)
-    now = hollow_gateway.START
-
-    def listed(made: Policy) -> None:
-        made.handle(now, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-
-    few = max(3, scenario.repeats // 8)
-    first = median(lambda me: partial(listed, hollow_gateway.front_door(size, scenario, me)), few)
-    made = hollow_gateway.front_door(size, scenario)
-    listed(made)
-    whole = median(lambda _: partial(listed, made), few)
-
-    def change(number: int) -> Callable[[], object]:
-        """A server begins to drain, and is ready again with the next change."""
+def _alternating_changes(
+    policy: Policy, endpoints: tuple[EndpointRecord, ...], random: np.random.Generator
+) -> Callable[[int], Callable[[], object]]:
+    """Return a maker of changes by which an endpoint begins to drain, and with the next is ready again."""
+    draining: list[EndpointRecord] = []
+
+    def make_change(number: int) -> Callable[[], object]:
         if number % 2 == 0:
-            drains.append(hollow_gateway.drained(entries, random))
-        told = drains[-1] if number % 2 == 0 else replace(drains[-1], state=EndpointState.READY)
-        return partial(made.handle, now, EndpointUpdate(UpdateKind.DELTA, number + 2, (told,)))
-
-    drains: list[EndpointRecord] = []
-    one = median(change, scenario.repeats)
-    listed(made)
-    pause = 2 * hollow_gateway.LATENCY
-    asked = median(
-        lambda number: partial(request, made, number, now + (number + 1) * pause), 10 * scenario.repeats
-    )
-    point = Point(
-        servers=size.servers,
-        doors=size.doors,
-        figures={
-            "change": one * 1e3,
-            "whole": whole * 1e3,
-            "first": first * 1e3,
-            "request": asked * 1e6,
-            "memory": memory(size, scenario, entries) / size.servers,
-            "list": float(hollow_gateway.list_bytes(entries)),
-        },
-    )
-    log.info("measured", servers=size.servers, doors=size.doors, **point.figures)
-    return point
+            draining.append(hollow_gateway.make_draining(endpoints, random))
+        record = draining[-1]
+        if number % 2 == 1:
+            record = replace(record, state=EndpointState.READY)
+        update = EndpointUpdate(UpdateKind.DELTA, number + 2, (record,))
+        return partial(policy.handle, hollow_gateway.START, update)
+
+    return make_change
+
+
+def _request_at(policy: Policy, number: int) -> Callable[[], object]:
+    """Return the request of that number, each some time after the one before has been served."""
+    now = hollow_gateway.START + (number + 1) * 2 * hollow_gateway.LATENCY_SECONDS
+    return partial(serve_request, policy, number, now)
 
 
-def memory(size: Size, scenario: Scenario, entries: tuple[EndpointRecord, ...]) -> int:
-    """Bytes that a front door holds for its list, without the entries, which come with the event."""
+def _list_memory(size: Size, scenario: Scenario, endpoints: tuple[EndpointRecord, ...]) -> int:
+    """Return the bytes that a policy holds for its list, without the records, which come with the event."""
     gc.collect()
     tracemalloc.start()
     try:
-        made = hollow_gateway.front_door(size, scenario)
+        policy = hollow_gateway.make_policy(size, scenario)
         before, _ = tracemalloc.get_traced_memory()
-        made.handle(hollow_gateway.START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-        made.actions = []
+        _take_list(policy, endpoints)
+        policy.actions = []
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
--- a/scaletest/report.py
+++ b/scaletest/report.py
@@ -5,48 +5,58 @@
 from pathlib import Path
 
 import matplotlib
-
-matplotlib.use("Agg")  # no display is needed
 from matplotlib import pyplot
+from matplotlib.axes import Axes
+
+from scaletest.result import Result, fit
 
-from scaletest.result import Fit, Result, fit
+matplotlib.use("Agg")  # draws into files: no display is needed
+PLOT_SIZE_INCHES = (12, 7)
+PLOT_DPI = 90
 
 
 def table(result: Result) -> str:
-    """Markdown: a row a figure, with its value at each size, the slope and what the line misses it by."""
-    sizes = [f"{point.servers:,} / {point.doors}" for point in result.points]
+    """Return a result as Markdown, one row a figure: its value at each size, slope, residual, exponent."""
+    sizes = [f"{point.endpoints:,} / {point.gateways}" for point in result.points]
     lines = [
         f"Slope `{result.scenario.name}`: commit {result.commit}, seed {result.scenario.seed}, "
         f"{result.scenario.repeats} repeats, {result.machine.cores} cores, load {result.machine.load:.1f}, "
-        f"Python {result.machine.python}, {result.at:%Y-%m-%d %H:%M} UTC. Sizes are servers / front doors.",
+        f"Python {result.machine.python}, {result.at:%Y-%m-%d %H:%M} UTC. Sizes are endpoints / gateways.",
         "",
-        "| figure | " + " | ".join(sizes) + " | a server more | residual | exponent |",
+        "| figure | " + " | ".join(sizes) + " | slope an endpoint | residual | exponent |",
         "| --- |" + " --- |" * (len(sizes) + 3),
     ]
-    for figure, unit in result.units.items():
-        found: Fit = fit(result.points, figure)
-        values = [f"{point.figures[figure]:.4g}" for point in result.points]
-        ends = [f"{found.slope:.3g}", f"{found.residual:.0%}", f"{found.exponent:.2f}"]
-        lines.append(f"| {figure}: {unit} | " + " | ".join(values + ends) + " |")
+    lines.extend(_table_row(result, figure) for figure in result.units)
     return "\n".join(lines) + "\n"
 
 
+def _table_row(result: Result, figure: str) -> str:
+    line = fit(result.points, figure)
+    cells = [f"{point.figures[figure]:.4g}" for point in result.points]
+    cells += [f"{line.slope:.3g}", f"{line.residual:.0%}", f"{line.exponent:.2f}"]
+    return f"| {figure}: {result.units[figure]} | " + " | ".join(cells) + " |"
+
+
 def plot(result: Result, path: Path) -> None:
-    """A picture a figure, over the servers, with the line through it."""
+    """Write a PNG with one diagram a figure, over the endpoints, with the line through it."""
     figures = list(result.units)
-    drawing, axes = pyplot.subplots(2, (len(figures) + 1) // 2, figsize=(12, 7), squeeze=False)
-    servers = [point.servers for point in result.points]
+    drawing, axes = pyplot.subplots(2, (len(figures) + 1) // 2, figsize=PLOT_SIZE_INCHES, squeeze=False)
     for axis in axes.flat[len(figures) :]:
         axis.set_visible(False)
     for axis, figure in zip(axes.flat, figures, strict=False):
-        found = fit(result.points, figure)
-        axis.plot(servers, [point.figures[figure] for point in result.points], "o")
-        axis.plot(servers, [found.slope * count + found.at_none for count in servers], "--")
-        axis.set_title(figure)
-        axis.set_xlabel("servers")
-        axis.set_ylabel(result.units[figure], fontsize=7)
-        axis.set_ylim(bottom=0)
+        _plot_figure(axis, result, figure)
     drawing.suptitle(f"{result.scenario.name}, commit {result.commit}")
     drawing.tight_layout()
-    drawing.savefig(path, dpi=90)
+    drawing.savefig(path, dpi=PLOT_DPI)
     pyplot.close(drawing)
+
+
+def _plot_figure(axis: Axes, result: Result, figure: str) -> None:
+    line = fit(result.points, figure)
+    endpoints = [point.endpoints for point in result.points]
+    axis.plot(endpoints, [point.figures[figure] for point in result.points], "o")
+    axis.plot(endpoints, [line.slope * count + line.intercept for count in endpoints], "--")
+    axis.set_title(figure)
+    axis.set_xlabel("endpoints")
+    axis.set_ylabel(result.units[figure], fontsize=7)
+    axis.set_ylim(bottom=0)
--- a/scaletest/result.py
+++ b/scaletest/result.py
@@ -7,53 +7,60 @@
 import subprocess
 from datetime import UTC, datetime
 from pathlib import Path
+from typing import Annotated
 
 import numpy as np
 import psutil
-from pydantic import BaseModel, ConfigDict, ValidationError
+from pydantic import AliasChoices, BaseModel, Field, ValidationError
 
-from scaletest.scenario import Scenario, ScenarioError
+from scaletest.scenario import ScaletestError, Scenario, StrictModel
 
+TINY = 1e-12  # stands in for a figure of nothing, which has no logarithm and divides nothing
 
-class Point(BaseModel):
-    """What was measured at one size, by figure."""
 
-    model_config = ConfigDict(extra="forbid", frozen=True)
-    servers: int
-    doors: int
+class ResultError(ScaletestError):
+    """A file that holds no result; the text names it and what is wrong there."""
+
+
+class Point(StrictModel):
+    """What was measured at one size, by figure.  Older files say `servers` and `doors`."""
+
+    endpoints: Annotated[int, Field(validation_alias=AliasChoices("endpoints", "servers"))]
+    gateways: Annotated[int, Field(validation_alias=AliasChoices("gateways", "doors"))]
     figures: dict[str, float]
 
 
-class Machine(BaseModel):
-    model_config = ConfigDict(extra="forbid", frozen=True)
+class Machine(StrictModel):
+    """The machine that a run was made on."""
+
     cores: int
     memory_mb: int
     python: str
-    load: float  # of the last minute, when the run began: others' work makes times longer
+    load: float  # average of the last minute when the run began: other work makes times longer
 
 
-class Result(BaseModel):
+class Result(StrictModel):
     """One run of a slope."""
 
-    model_config = ConfigDict(extra="forbid", frozen=True)
     scenario: Scenario
-    at: datetime
+    at: datetime  # when it began
     commit: str  # with "+" behind it where files were changed since
     machine: Machine
-    units: dict[str, str]
+    units: dict[str, str]  # by figure
     points: tuple[Point, ...]
 
 
 class Fit(BaseModel):
-    """A line through a figure over the servers, and how it grows: figure ~ servers ** exponent."""
+    """A line through a figure over the endpoints, and how the figure grows: ~ endpoints ** exponent."""
 
-    slope: float  # of the figure's unit, a server
-    at_none: float
-    residual: float  # root of the mean square, as a share of the figure's mean
+    slope: float  # of the figure's unit, an endpoint
+    intercept: float
+    residual: float  # root of the mean square, as a fraction of the figure's mean
     exponent: float
 
 
-def machine() -> Machine:
+def current_machine() -> Machine:
+    """Describe this machine and how busy it is."""
     return Machine(
         cores=os.cpu_count() or 1,
         memory_mb=psutil.virtual_memory().total >> 20,
@@ -62,12 +69,15 @@
     )
 
 
-def commit(here: Path = Path(__file__).parent) -> str:
-    """The commit that is run; "unknown" outside a repository.  New files do not count: a run leaves some."""
+def current_commit(here: Path = Path(__file__).parent) -> str:
+    """Return the commit that is run, or "unknown" outside a repository.
+
+    Untracked files do not count as changes: the runs themselves leave some.
+    """
 
     def git(*words: str) -> str:
-        done = subprocess.run(["git", *words], cwd=here, capture_output=True, text=True, check=True)
-        return done.stdout.strip()
+        run = subprocess.run(["git", *words], cwd=here, capture_output=True, text=True, check=True)
+        return run.stdout.strip()
 
     try:
         changed = git("status", "--porcelain", "--untracked-files=no")
@@ -77,17 +87,18 @@
 
 
 def fit(points: tuple[Point, ...], figure: str) -> Fit:
-    """Least squares over the sizes."""
-    servers = np.array([point.servers for point in points], dtype=float)
+    """Fit a line through a figure by least squares over the sizes."""
+    endpoints = np.array([point.endpoints for point in points], dtype=float)
     values = np.array([point.figures[figure] for point in points])
-    slope, at_none = np.polyfit(servers, values, 1)
-    away = values - (slope * servers + at_none)
-    exponent, _ = np.polyfit(np.log(servers), np.log(np.maximum(values, 1e-12)), 1)
-    residual = float(np.sqrt(np.mean(away**2)) / max(abs(float(values.mean())), 1e-12))
-    return Fit(slope=float(slope), at_none=float(at_none), residual=residual, exponent=float(exponent))
+    slope, intercept = np.polyfit(endpoints, values, 1)
+    errors = values - (slope * endpoints + intercept)
+    exponent, _ = np.polyfit(np.log(endpoints), np.log(np.maximum(values, TINY)), 1)
+    residual = float(np.sqrt(np.mean(errors**2)) / max(abs(float(values.mean())), TINY))
+    return Fit(slope=float(slope), intercept=float(intercept), residual=residual, exponent=float(exponent))
 
 
 def save(result: Result, folder: Path) -> Path:
+    """Write a result into a folder, which is made if need be, and return its path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{result.scenario.name}-{result.at:%Y%m%dT%H%M%S}.json"
     path.write_text(result.model_dump_json(indent=1) + "\n", encoding="utf-8")
@@ -95,12 +106,17 @@
 
 
 def read(path: Path) -> Result:
-    """A result as it was saved.  Raises ScenarioError where the file is none."""
+    """Read a result as it was saved.
+
+    Raises:
+        ResultError: the file cannot be read, or holds no result.
+    """
     try:
         return Result.model_validate_json(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, ValidationError) as error:
-        raise ScenarioError(f"{path}: {str(error).splitlines()[0]}") from None
+        raise ResultError(f"{path}: {str(error).splitlines()[0]}") from None
 
 
 def now() -> datetime:
+    """Return the present time, in UTC."""
     return datetime.now(UTC)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the gateway and of the scale experiments."""
--- a/tests/frontend/__init__.py
+++ b/tests/frontend/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the HTTP front end."""
--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the policy, in fake time."""
--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of a whole gateway process on loopback sockets."""
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the simulator's codec and adapter."""
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Fakes and settings that the tests share."""
--- /dev/null
+++ b/tests/support/scenarios.py
@@ -0,0 +1,24 @@
+"""A small scenario of the scale experiments, to be varied by tests."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+SMALL_SCENARIO = """
+name = "membership"
+seed = 7
+repeats = 4
+services = 3
+zones = 2
+sizes = [
+    { endpoints = 20, gateways = 5 }, { endpoints = 40, gateways = 5 }, { endpoints = 80, gateways = 5 },
+    { endpoints = 160, gateways = 5 },
+]
+"""
+
+
+def write_scenario(path: Path, old: str = "", new: str = "") -> str:
+    """Write the scenario with one text replaced by another, and return its path."""
+    assert old in SMALL_SCENARIO
+    path.write_text(SMALL_SCENARIO.replace(old, new))
+    return str(path)
--- a/tests/upstream/__init__.py
+++ b/tests/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the upstream client."""
