--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -89,46 +89,48 @@
 
 
 @dataclass
-class FakeEndpoint:
-    """Answers each request with what `answer` makes of it; None keeps silent."""
+class FakeServer:
+    """Serves connections by its `serve`, and counts them."""
 
-    answer: Callable[[Message], bytes | None] = lambda _: http_response(body=b"done")
-    seen: list[Message] = field(default_factory=list)
-    opened: int = 0
-    open: int = 0
+    opened: int = field(default=0, init=False)
+    open: int = field(default=0, init=False)
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
         self.open += 1
         try:
-            while True:
-                message = await read_message(reader)
-                self.seen.append(message)
-                if (reply := self.answer(message)) is not None:
-                    writer.write(reply)
-                    if b"Connection: close" in reply or reply == b"":
-                        return
+            await self.serve(reader, writer)
         finally:
             self.open -= 1
 
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        raise NotImplementedError
+
+
+@dataclass
+class FakeEndpoint(FakeServer):
+    """Answers each request with what `answer` makes of it; None keeps silent."""
+
+    answer: Callable[[Message], bytes | None] = lambda _: http_response(body=b"done")
+    seen: list[Message] = field(default_factory=list)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            message = await read_message(reader)
+            self.seen.append(message)
+            if (reply := self.answer(message)) is not None:
+                writer.write(reply)
+                if b"Connection: close" in reply or reply == b"":
+                    return
+
 
 @dataclass
-class FakeCounter:
+class FakeCounter(FakeServer):
     """A counter; `reply` may stand in for the answer to the call with that number."""
 
     reply: Callable[[int, list[bytes]], bytes | None] | None = None
     totals: dict[bytes, float] = field(default_factory=dict)
     calls: list[list[bytes]] = field(default_factory=list)
-    opened: int = 0
-    open: int = 0
-
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
-        self.open += 1
-        try:
-            await self.serve(reader, writer)
-        finally:
-            self.open -= 1
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -147,33 +149,28 @@
 
 
 @dataclass
-class FakeDiscoveryAgent:
+class FakeDiscoveryAgent(FakeServer):
     """Discovery: the whole list, then a watch that gets the lines put into `lines`, one chunk a line."""
 
     lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
     whole: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
-    open: int = 0
 
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open += 1
-        try:
-            self.targets.append((await read_message(reader)).start.split()[1])
-            writer.write(http_response(body=self.whole))
-            self.targets.append((await read_message(reader)).start.split()[1])
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            ended = asyncio.ensure_future(reader.read())
-            sent = 0
-            while not ended.done():
-                for line in self.lines[sent:]:
-                    if line == b"<end>":
-                        self.lines.remove(line)
-                        return
-                    writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
-                sent = len(self.lines)
-                await asyncio.sleep(0.002)
-        finally:
-            self.open -= 1
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.targets.append((await read_message(reader)).start.split()[1])
+        writer.write(http_response(body=self.whole))
+        self.targets.append((await read_message(reader)).start.split()[1])
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        ended = asyncio.ensure_future(reader.read())
+        sent = 0
+        while not ended.done():
+            for line in self.lines[sent:]:
+                if line == b"<end>":
+                    self.lines.remove(line)
+                    return
+                writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
+            sent = len(self.lines)
+            await asyncio.sleep(0.002)
 
 
 def host_line(name: str, dial: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
