--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -19,7 +19,8 @@
 
 from gateway.config import Config, ConfigError, load
 from gateway.counter.client import CounterClient
-from gateway.discovery.client import DiscoveryClient, EndpointDecoder
+from gateway.discovery.client import DiscoveryClient
+from gateway.discovery.endpoint_decoder import EndpointDecoder
 from gateway.frontend.listener import Listener
 from gateway.policy.engine import Policy
 from gateway.policy_driver import PolicyDriver
--- a/gateway/discovery/__init__.py
+++ b/gateway/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint discovery: watches on the agent and the endpoint list."""
+"""Endpoint discovery: watches on the discovery agent, and its endpoint list as typed updates."""
--- a/tests/discovery/__init__.py
+++ b/tests/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of endpoint discovery."""
--- /dev/null
+++ b/tests/discovery/test_endpoint_decoder.py
@@ -0,0 +1,68 @@
+"""Endpoint lists and changes out of parsed JSON, and endpoint ids out of host names."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from gateway.config import Address
+from gateway.discovery import endpoint_decoder
+from gateway.discovery.endpoint_decoder import EndpointDecoder, derive_endpoint_id
+from gateway.discovery.errors import DiscoveryError, MalformedEndpointError, MalformedUpdateError
+from tests.discovery.support import make_decoder
+from tests.support.sockets import host_line
+
+
+@pytest.fixture
+def decoder() -> EndpointDecoder:
+    return make_decoder()
+
+
+def test_host_names_map_to_the_same_ids_on_every_gateway() -> None:
+    assert derive_endpoint_id("s-5be2a07c") == 0x5BE2A07C
+    assert derive_endpoint_id("worker-7") == derive_endpoint_id("worker-7") != derive_endpoint_id("worker-8")
+    assert 0 <= derive_endpoint_id("s-5BE2A07C") < 1 << 32
+
+
+def test_an_unreadable_list_does_not_remove_all_endpoints(decoder: EndpointDecoder) -> None:
+    decoder.decode_update({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
+    with pytest.raises(MalformedUpdateError, match="no endpoint of 1"):
+        decoder.decode_update({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
+    assert decoder.host_names == {7: "s-00000007"}
+
+
+# Guards against growth: endpoints are replaced all day by ones of ever new names.
+def test_host_names_of_gone_endpoints_are_forgotten(decoder: EndpointDecoder) -> None:
+    for number in range(50):
+        line = host_line(f"s-{number:08x}", "127.0.0.1:81")
+        decoder.decode_update({"seq": 2 * number, "whole": False, "hosts": [line]})
+        decoder.decode_update({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
+    assert decoder.host_names == {}
+
+
+def test_two_host_names_with_one_id_are_not_taken_for_one_endpoint(
+    decoder: EndpointDecoder, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(endpoint_decoder, "derive_endpoint_id", lambda _: 7)
+    hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
+    update, addresses = decoder.decode_update({"seq": 1, "whole": True, "hosts": hosts})
+    assert len(update.records) == 1
+    assert addresses == {7: Address("127.0.0.1", 81)}
+
+
+@pytest.mark.parametrize(
+    ("field", "value"),
+    [
+        ("health", "Unknown"), ("site", "z"), ("class", "m9"), ("born_ms", "soon"), ("block", None),
+        ("share", []), ("dial", "127.0.0.1"),
+    ],
+)  # fmt: skip
+def test_an_error_names_the_malformed_field_and_its_value(
+    field: str, value: Any, decoder: EndpointDecoder
+) -> None:
+    line = host_line("s-00000007", "127.0.0.1:81")
+    with pytest.raises(MalformedEndpointError) as raised:
+        decoder.decode_record(line | {field: value})
+    assert str(raised.value) == f"host 's-00000007' has an unusable {field}: {value!r}"
+    assert isinstance(raised.value, DiscoveryError)
--- /dev/null
+++ b/tests/discovery/test_json_stream.py
@@ -0,0 +1,41 @@
+"""JSON documents out of a byte stream, without sockets."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from gateway.discovery.json_stream import JsonStream
+from tests.discovery.support import update_json
+from tests.support.sockets import host_line
+
+UPDATE = update_json(42, host_line('s-"{[', "127.0.0.1:81"), host_line("s-00000008", "127.0.0.1:82"))
+
+
+def feed_in_pieces(text: bytes, size: int) -> list[bytes]:
+    stream = JsonStream()
+    return [
+        document
+        for start in range(0, len(text), size)
+        for document in stream.feed(text[start : start + size])
+    ]
+
+
+# Guards against an update that is complete only with the first byte of the next one, at any cut of the bytes.
+@pytest.mark.parametrize("size", [1, 7, 100_000])
+@pytest.mark.parametrize("indent", [None, 0, 2])
+def test_documents_are_complete_with_their_last_byte(size: int, indent: int | None) -> None:
+    text = json.dumps(json.loads(UPDATE), indent=indent).encode()
+    assert feed_in_pieces(text, size) == [text]
+
+
+def test_an_empty_line_is_a_heartbeat() -> None:
+    assert JsonStream().feed(b"\n" + UPDATE + b"\n\n") == [b"", UPDATE, b"", b""]
+
+
+@pytest.mark.parametrize("separator", [b"\n", b"\n\n"])
+def test_an_update_behind_one_that_never_closes_is_not_lost(separator: bytes) -> None:
+    documents = JsonStream().feed(b'{"seq":' + separator + UPDATE + b"\n")
+    assert documents[0] == b'{"seq":'
+    assert UPDATE in documents
--- a/tests/process/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -228,7 +228,7 @@
             door.endpoint_list_timeout = 0.05 if away else 15.0
             start = asyncio.create_task(door.start())
             if not away:
-                await until(lambda: door.discovery.agent_watches[0].tries)
+                await until(lambda: door.discovery.agent_watches[0].connections)
                 assert not start.done()
                 go.set()
             await start
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -15,7 +15,7 @@
 
 from gateway.config import OTHER_SOCKETS
 from gateway.counter.client import LINES
-from gateway.discovery.client import MOST_TRIES
+from gateway.discovery.endpoint_watch import MAX_CONNECTIONS as MOST_TRIES
 from tests.support.sockets import (
     FakeCounter,
     FakeDiscoveryAgent,
