--- a/gateway/counter/__init__.py
+++ b/gateway/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The counter service over RESP."""
+"""The client of the shared counter service, over RESP2."""
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -1,305 +1,126 @@
-"""The counter: TALLY calls on a few pipelined RESP2 connections."""
+"""The counter as the gateway uses it: additions by name, their expiry, and moving to another address."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-import re
 import time
 from collections import deque
-from collections.abc import Callable
-from typing import Any, cast
-
-import hiredis
+from collections.abc import Callable, Coroutine
 
 from gateway.config import Address
+from gateway.counter.call import CounterCall
+from gateway.counter.connection import PING_INTERVAL_SECONDS, CounterConnection
 from gateway.policy.actions import AddToCounter
 from gateway.policy.events import CounterReply, Outcome
 
-LINES = 4  # connections; the counter holds 32 of a front door
-MOST_PENDING = 1000  # calls on one connection that wait for their answers
-PING_AFTER = 2.0  # seconds without a call after which a PING keeps the connection from standing idle
-DEAD_AFTER = 2.0  # seconds with calls out and no byte back: the machine behind it has vanished
-RETRY_FIRST, RETRY_MOST = 0.05, 1.0  # seconds between attempts to connect
-CONNECT_TIMEOUT = 1.0
-MOST_ANSWER = 64 * 1024  # bytes; a total is far shorter
-TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf
-
-log = logging.getLogger(__name__)
-
-
-class CounterCall:
-    __slots__ = ("began", "count", "line", "settled")
-
-    def __init__(self, count: AddToCounter | None, began: float, line: CounterConnection) -> None:
-        self.count = count  # None for a PING
-        self.began = began
-        self.line = line
-        self.settled = count is None  # the module has had its answer
-
-
-class CounterConnection(asyncio.Protocol):
-    """One connection, with the calls written to it in the order in which their answers come."""
-
-    def __init__(self, owner: CounterClient, address: Address) -> None:
-        self.owner, self.address = owner, address
-        self.predecessor: CounterConnection | None = (
-            None  # whose place this one took and whose calls come first
-        )
-        self.successor: CounterConnection | None = None  # that took this one's place
-        self.transport: asyncio.Transport | None = None
-        self.calls: deque[CounterCall] = deque()  # written
-        self.held: deque[CounterCall] = deque()  # to be written once the connection is up
-        self.connecting = False
-        self.unsent = False  # whether written bytes still wait in this process
-        self.heard = 0.0
-        self.wait = RETRY_FIRST
-        self.reader: Any = None
-        self.unread = 0  # bytes read since the last answer
-
-    # --- calls -------------------------------------------------------------------------------------
-
-    def call(self, count: AddToCounter, now: float) -> None:
-        call = CounterCall(count, now, self)
-        if len(self.calls) + len(self.held) >= MOST_PENDING:
-            self.owner.settle(call, Outcome.OVERLOADED)
-            return
-        if self.transport is None and not self.connecting:  # refused a moment ago; it tries again shortly
-            self.owner.settle(call, Outcome.CONNECT_FAILED)
-            return
-        self.owner.expiring.append(call)
-        if self.open():
-            self.write(call)
-        else:
-            self.held.append(call)
-
-    def open(self) -> bool:
-        """Whether a call may be written now.  Not before those at the old counter have ended: the answers
-        for one name are told in the order of its calls.
-        """
-        return self.transport is not None and not self.transport.is_closing() and self.predecessor is None
-
-    def flush(self) -> None:
-        while self.held and self.open():
-            self.write(self.held.popleft())
-
-    def write(self, call: CounterCall) -> None:
-        assert self.transport is not None
-        if not self.calls:
-            self.heard = time.monotonic()
-        self.calls.append(call)
-        count = call.count
-        if count is None:
-            self.transport.write(b"*1\r\n$4\r\nPING\r\n")
-            return
-        life = max(1, min(60_000, round(count.expires_after * 1000)))
-        command = ("TALLY", str(count.name), f"{count.amount:.6f}", str(life))
-        self.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]  # any length is taken
-
-    def expire(self, call: CounterCall) -> None:
-        if call in self.held:
-            self.held.remove(call)  # never written, so it can never be added
-            self.owner.settle(call, Outcome.CONNECT_FAILED)
-        else:
-            # It keeps its place in `calls`: its late answer must not be taken for the next call's.
-            self.owner.settle(call, Outcome.TIMEOUT)
-        self.close_when_drained()
-
-    def hand_over_to(self, heir: CounterConnection) -> None:
-        """Another line takes this one's place: what is out here ends here, what was not written moves."""
-        self.successor, heir.predecessor = heir, self
-        heir.held, self.held = self.held, deque()
-        for call in heir.held:
-            call.line = heir
-        self.close_when_drained()
-
-    def close_when_drained(self) -> None:
-        """Once its calls have ended, a line that gave way lets its heir write, and ends."""
-        if self.successor is not None and all(call.settled for call in self.calls):
-            heir, self.successor = self.successor, None
-            heir.predecessor = None
-            if self.transport is not None:
-                self.transport.abort()
-            heir.flush()
-
-    def current(self) -> bool:
-        return self in self.owner.connections or self in self.owner.replacements
-
-    # --- connection --------------------------------------------------------------------------------
-
-    def connect(self) -> None:
-        if not self.connecting and self.transport is None and not self.owner.closed and self.current():
-            self.connecting = True
-            task = self.owner.loop.create_task(self.try_connect())
-            self.owner.tasks.add(task)
-            task.add_done_callback(self.owner.tasks.discard)
-
-    async def try_connect(self) -> None:
-        address = self.address
-        try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
-                await self.owner.loop.create_connection(lambda: self, address.host, address.port)
-        except (OSError, TimeoutError):
-            self.connecting = False
-            self.fail_held()
-            self.owner.loop.call_later(self.wait, self.connect)
-            self.wait = min(RETRY_MOST, 2 * self.wait)
-        finally:
-            self.owner.tried()
-
-    def fail_held(self) -> None:
-        held, self.held = self.held, deque()
-        for call in held:
-            self.owner.settle(call, Outcome.CONNECT_FAILED)
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
-        transport.set_write_buffer_limits(high=0)
-        self.transport, self.connecting, self.unsent = transport, False, False
-        self.reader, self.unread = hiredis.Reader(), 0
-        self.heard = time.monotonic()
-        if not self.current():  # moved on while it connected
-            transport.abort()
-            return
-        self.owner.connected(self)
-        self.flush()
-
-    def pause_writing(self) -> None:
-        self.unsent = True
-
-    def resume_writing(self) -> None:
-        self.unsent = False
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.transport = None
-        calls, self.calls = self.calls, deque()
-        for call in calls:
-            # Which of several calls the unsent bytes belong to is not known; only one alone is certain.
-            alone = self.unsent and len(calls) == 1
-            self.owner.settle(call, Outcome.CONNECT_FAILED if alone else Outcome.TIMEOUT)
-        self.close_when_drained()
-        self.connect()
-
-    def data_received(self, data: bytes) -> None:
-        self.heard, self.wait = time.monotonic(), RETRY_FIRST
-        self.unread += len(data)
-        try:
-            self.reader.feed(data)
-            while (reply := self.reader.gets()) is not False:
-                self.unread = 0
-                if not self.calls:
-                    raise hiredis.ProtocolError("an answer that no call waits for")
-                self.answer(self.calls.popleft(), reply)
-            if self.unread > MOST_ANSWER:
-                raise hiredis.ProtocolError("an answer without end")
-        except hiredis.ProtocolError as error:  # framing is lost: nothing behind it can be matched
-            log.warning("counter: %s", error)
-            if self.transport is not None:
-                self.transport.abort()
-        self.close_when_drained()
-
-    def answer(self, call: CounterCall, reply: Any) -> None:
-        """Settle one call.  An answer that is none raises: it is not known what the next ones belong to."""
-        if isinstance(reply, hiredis.ReplyError):
-            if not str(reply).startswith("BUSY"):
-                log.warning("counter: %.80s", reply)
-            self.owner.settle(call, Outcome.OVERLOADED)  # nothing was added
-        elif call.count is None:
-            if reply != b"PONG":
-                raise hiredis.ProtocolError(f"not an answer to PING: {reply!r:.40}")
-        elif isinstance(reply, bytes) and TOTAL.fullmatch(reply):
-            self.owner.settle(call, Outcome.OK, float(reply))
-        else:
-            self.owner.settle(call, Outcome.TIMEOUT)  # it may have been added
-            raise hiredis.ProtocolError(f"not a total: {reply!r:.40}")
-
-    def look(self, now: float) -> None:
-        if self.transport is None:
-            return
-        if self.calls and now - self.heard > DEAD_AFTER:
-            self.transport.abort()
-        elif not self.calls and now - self.heard > PING_AFTER:
-            self.write(CounterCall(None, now, self))
+CONNECTION_COUNT = 4  # the counter accepts 32 of one gateway
+LIVENESS_CHECK_SECONDS = PING_INTERVAL_SECONDS / 2
 
 
 class CounterClient:
-    """Calls by name: those of one name share a connection, so their answers come in their order."""
+    """Adds to counters and calls back with a reply to each addition.
 
-    def __init__(self, address: Address, timeout: float, done: Callable[[CounterReply], None]) -> None:
-        self.timeout, self.on_reply = timeout, done
-        self.loop = asyncio.get_running_loop()
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.expiring: deque[CounterCall] = deque()  # all wait equally long: oldest first
-        self.timer: asyncio.TimerHandle | None = None
-        self.closed = False
-        self.ready = self.loop.create_future()  # done once a first connection is up or was refused
-        self.connections = [CounterConnection(self, address) for _ in range(LINES)]
-        self.replacements: list[CounterConnection] = []  # to another address: each takes over once it is up
-        for line in self.connections:
-            line.connect()
-        self.watch = self.loop.call_later(PING_AFTER / 2, self.look)
+    Additions of one name share a connection, so that their replies come in the order of the calls.  `ready`
+    is done once the first attempt to connect has succeeded or failed.
+    """
 
-    def tried(self) -> None:
-        if not self.ready.done():
-            self.ready.set_result(None)
+    def __init__(
+        self, address: Address, timeout_seconds: float, on_reply: Callable[[CounterReply], None]
+    ) -> None:
+        self.timeout_seconds = timeout_seconds  # of a call, the same for all
+        self.on_reply = on_reply
+        self.loop = asyncio.get_running_loop()
+        self.ready = self.loop.create_future()
+        self.is_closed = False
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._expiring_calls: deque[CounterCall] = deque()  # oldest first
+        self._expiry_timer: asyncio.TimerHandle | None = None
+        self.connections = [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
+        # To another address: each takes the place of the one in use once it is open.
+        self.replacements: list[CounterConnection] = []
+        for connection in self.connections:
+            connection.connect()
+        self._liveness_timer = self.loop.call_later(LIVENESS_CHECK_SECONDS, self._check_liveness)
+
+    def add(self, request: AddToCounter) -> None:
+        """Send an addition; its reply comes through `on_reply`, perhaps before this returns."""
+        self.connections[request.name % CONNECTION_COUNT].add(request, time.monotonic())
+        if self._expiry_timer is None and self._expiring_calls:
+            self._expiry_timer = self.loop.call_later(self.timeout_seconds, self._expire_calls)
 
     def change_address(self, address: Address) -> None:
-        """Call at another address.  The old lines go on until the new ones are up, one by one."""
+        """Move to the counter at another address; each connection is used until its replacement is open."""
         if address == (self.replacements or self.connections)[-1].address:
             return
-        dropped, self.replacements = (
-            self.replacements,
-            [CounterConnection(self, address) for _ in range(LINES)],
-        )
-        for line in dropped:
-            if line.transport is not None and line not in self.connections:
-                line.transport.abort()
-        for line in self.replacements:
-            line.connect()
+        dropped = self.replacements
+        self.replacements = [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
+        for connection in dropped:
+            if connection not in self.connections:
+                connection.abort()
+        for connection in self.replacements:
+            connection.connect()
+
+    def is_current(self, connection: CounterConnection) -> bool:
+        """Whether the connection is in use, or is to replace one that is."""
+        return connection in self.connections or connection in self.replacements
+
+    def start_task(self, work: Coroutine[None, None, None]) -> None:
+        """Run a coroutine until it is done or the client is closed."""
+        task = self.loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def connection_attempted(self) -> None:
+        """Note that an attempt to connect has succeeded or failed."""
+        if not self.ready.done():
+            self.ready.set_result(None)
 
-    def connected(self, line: CounterConnection) -> None:
-        if line in self.replacements:
-            place = self.replacements.index(line)
-            old, self.connections[place] = self.connections[place], line
-            old.hand_over_to(line)
-            if all(up.address == line.address for up in self.connections):
+    def connection_opened(self, connection: CounterConnection) -> None:
+        """Let a replacement take the place of the connection that it is for."""
+        if connection in self.replacements:
+            place = self.replacements.index(connection)
+            replaced, self.connections[place] = self.connections[place], connection
+            replaced.hand_over_to(connection)
+            if all(current.address == connection.address for current in self.connections):
                 self.replacements = []
 
-    def add(self, count: AddToCounter) -> None:
-        self.connections[count.name % LINES].call(count, time.monotonic())
-        if self.timer is None and self.expiring:
-            self.timer = self.loop.call_later(self.timeout, self.expire)
+    def schedule_expiry(self, call: CounterCall) -> None:
+        """Expire the call once it has waited for too long."""
+        self._expiring_calls.append(call)
 
-    def expire(self) -> None:
+    def _expire_calls(self) -> None:
         now = time.monotonic()
-        while self.expiring:
-            call = self.expiring[0]
-            if not call.settled:
-                if (left := call.began + self.timeout - now) > 0:
-                    self.timer = self.loop.call_later(left, self.expire)
+        while self._expiring_calls:
+            call = self._expiring_calls[0]
+            if not call.is_settled:
+                seconds_left = call.started_at + self.timeout_seconds - now
+                if seconds_left > 0:
+                    self._expiry_timer = self.loop.call_later(seconds_left, self._expire_calls)
                     return
-                call.line.expire(call)
-            self.expiring.popleft()
-        self.timer = None
+                call.connection.expire(call)
+            self._expiring_calls.popleft()
+        self._expiry_timer = None
 
     def settle(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
-        if not call.settled and call.count is not None:
-            call.settled = True
-            self.on_reply(CounterReply(call.count.name, outcome, total, time.monotonic() - call.began))
+        """Reply to the policy unless it has had its reply to this call."""
+        if not call.is_settled:
+            call.is_settled = True
+            elapsed = time.monotonic() - call.started_at
+            self.on_reply(CounterReply(call.request.name, outcome, total, elapsed))
 
-    def look(self) -> None:
+    def _check_liveness(self) -> None:
         now = time.monotonic()
-        for line in self.connections:
-            line.look(now)
-        self.watch = self.loop.call_later(PING_AFTER / 2, self.look)
+        for connection in self.connections:
+            connection.check_liveness(now)
+        self._liveness_timer = self.loop.call_later(LIVENESS_CHECK_SECONDS, self._check_liveness)
 
     def close(self) -> None:
-        self.closed = True
-        self.watch.cancel()
-        if self.timer:
-            self.timer.cancel()
-        for task in self.tasks:
+        """Close all connections; calls that are out get no reply."""
+        self.is_closed = True
+        self._liveness_timer.cancel()
+        if self._expiry_timer:
+            self._expiry_timer.cancel()
+        for task in self._tasks:
             task.cancel()
-        for line in [*self.connections, *self.replacements]:
-            if line.transport is not None:
-                line.transport.abort()
+        for connection in [*self.connections, *self.replacements]:
+            connection.abort()
--- a/tests/counter/__init__.py
+++ b/tests/counter/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the counter's client."""
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from gateway.config import OTHER_SOCKETS
-from gateway.counter.client import LINES
+from gateway.counter.client import CONNECTION_COUNT as LINES
 from gateway.discovery.endpoint_watch import MAX_CONNECTIONS as MOST_TRIES
 from tests.support.sockets import (
     FakeCounter,
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from gateway.counter.client import LINES
+from gateway.counter.client import CONNECTION_COUNT as LINES
 from tests.support.sockets import (
     FakeCounter,
     FakeDiscoveryAgent,
