--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -36,7 +36,8 @@
 
 
 NEXT_STATES = {
-    ConnectionState.DISCONNECTED: {ConnectionState.CONNECTING},
+    # OPEN: the transport may report the connection just after the attempt has run out of time.
+    ConnectionState.DISCONNECTED: {ConnectionState.CONNECTING, ConnectionState.OPEN},
     ConnectionState.CONNECTING: {ConnectionState.OPEN, ConnectionState.DISCONNECTED},
     ConnectionState.OPEN: {ConnectionState.DRAINING, ConnectionState.DISCONNECTED},
     ConnectionState.DRAINING: {ConnectionState.DISCONNECTED},
