--- /dev/null
+++ b/gateway/address.py
@@ -0,0 +1,38 @@
+"""Network addresses of the form HOST:PORT."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+MAX_PORT = 65535
+
+
+class AddressError(ValueError):
+    """A text that is not an address; ``value`` is that text."""
+
+    def __init__(self, value: object) -> None:
+        super().__init__(f"not an address of the form HOST:PORT: {value!r}")
+        self.value = value
+
+
+@dataclass(slots=True, frozen=True)
+class Address:
+    """Where a TCP service listens."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
+
+
+def parse_address(text: object) -> Address:
+    """The address that ``text`` gives as HOST:PORT.
+
+    Raises:
+        AddressError: The text has no host, or no port from 0 to ``MAX_PORT``.
+    """
+    host, separator, port = str(text).rpartition(":")
+    if not (separator and host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
+        raise AddressError(text)
+    return Address(host, int(port))
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -13,7 +13,7 @@
 from functools import partial
 from pathlib import Path
 
-from gateway.config import OTHER_SOCKETS
+from gateway.config import RESERVED_SOCKETS
 from gateway.counter.client import LINES
 from gateway.discovery.client import MOST_TRIES
 from tests.support.sockets import (
@@ -173,6 +173,6 @@
             while dripping[1] <= MOST_TRIES:
                 held = max(held, len(os.listdir(f"/proc/{process.pid}/fd")))
                 await asyncio.sleep(0.002)
-            assert 2 * MOST_TRIES < held <= OTHER_SOCKETS
+            assert 2 * MOST_TRIES < held <= RESERVED_SOCKETS
 
     run(test())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from gateway.config import OTHER_SOCKETS, Address, ConfigError, ResourceLimits, parse
+from gateway.config import RESERVED_SOCKETS, Address, ConfigError, ResourceLimits, parse
 from gateway.settings_parser import parse_settings
 from tests.support.policy import text
 from tests.support.sockets import config_text
@@ -76,5 +76,5 @@
 def test_bounds_follow_the_limits(sockets: int, memory_mb: int) -> None:
     bounds = ResourceLimits.of(sockets, memory_mb)
     assert min(bounds.max_clients, bounds.max_upstream) > sockets / 3
-    assert bounds.max_clients + bounds.surplus_clients + bounds.max_upstream + OTHER_SOCKETS <= sockets
+    assert bounds.max_clients + bounds.surplus_clients + bounds.max_upstream + RESERVED_SOCKETS <= sockets
     assert bounds.max_buffered_bytes <= memory_mb * (1 << 20) / 8
