--- a/tests/process/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from gateway.__main__ import GatewayProcess
 from gateway.frontend.listener import ClientConnection as Connection
 from gateway.policy.actions import Action, Reject, StartAttempt
 from gateway.policy.events import (
@@ -23,6 +22,7 @@
     Request,
     UpdateKind,
 )
+from gateway.process import GatewayProcess
 from gateway.upstream import client as upstream
 from tests.support.sockets import (
     FIRST,
@@ -310,7 +310,7 @@
 # Guards against the end of the process on half a request: once its end is written it counts as taken.
 @pytest.mark.parametrize("whole", [True, False])
 def test_half_a_request_is_answered_before_the_end(whole: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
+    monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
 
     async def test() -> None:
         backend = FakeEndpoint()
@@ -337,8 +337,8 @@
 
 # Guards against an end that cuts off the last answers of clients that read slowly.
 def test_the_end_waits_for_answers_that_have_not_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
-    monkeypatch.setattr("gateway.__main__.FLUSH", 0.1)
+    monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
+    monkeypatch.setattr("gateway.process.FLUSH_SECONDS", 0.1)
 
     async def test() -> None:
         body = b"x" * 60_000
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -109,7 +109,7 @@
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
-            assert b"stays as it was" in await process.stderr.readline()
+            assert b"configuration unchanged" in await process.stderr.readline()
             assert agents[0].open and await ready(port) == 200
             path.write_text(config_text([host], counter[1], discovery[1]))
             process.send_signal(signal.SIGHUP)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from gateway.__main__ import GatewayProcess
 from gateway.config import Config, parse
 from gateway.frontend.listener import Listener
 from gateway.policy.actions import Action, Fail, StartAttempt
 from gateway.policy.events import AttemptFinished, Event, Outcome, Request
+from gateway.process import GatewayProcess
 from tests.support.policy import BASE
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
