--- a/gateway/policy_driver.py
+++ b/gateway/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the one Policy: events in, its actions carried out in order, the table of open requests."""
+"""Runs the policy: delivers events to it, executes its actions in order, and owns the open requests."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from http import HTTPStatus
 
-from gateway.config import Address
+from gateway.address import Address
 from gateway.counter.client import CounterClient
+from gateway.open_request import OpenRequest, Response
 from gateway.policy.actions import (
     Action,
     AddToCounter,
@@ -29,6 +30,7 @@
     AttemptFinished,
     ClientDisconnected,
     CounterReply,
+    EndpointRecord,
     EndpointState,
     EndpointUpdate,
     Event,
@@ -38,283 +40,341 @@
     TimerFired,
     UpdateKind,
 )
-from gateway.upstream.client import Attempt, AttemptResult, UpstreamClient
+from gateway.upstream.client import AttemptResult, UpstreamClient
 
-ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
-GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
+__all__ = ["OpenRequest", "PolicyDriver", "Response"]
 
-log = logging.getLogger(__name__)
-
-
-@dataclass(slots=True)
-class Response:
-    """A final answer.  `status` 200 serves, 503 refuses, any other fails."""
-
-    status: int
-    body: bytes = b""
-    content_type: bytes = b""
-    retry_after: float = 0.0
-
-
-@dataclass(slots=True)
-class OpenRequest:
-    """A request that still needs an answer, or whose attempts are still out."""
+# Both are seconds before the client's deadline.  An attempt ends first, so that the policy can still respond.
+ATTEMPT_MARGIN_SECONDS = 0.030  # at which an attempt is abandoned
+RESPONSE_MARGIN_SECONDS = 0.015  # at which the driver responds if the policy has not
+MIN_TIMER_SECONDS = 0.001  # the resolution of the event loop's timers
 
-    request_id: int
-    encode_for_endpoint: Callable[[float], bytes]  # what goes to a backend, given the time that is left
-    on_response: Callable[[Response], None]
-    on_released: Callable[[], None]  # hears when it is answered and none of its attempts is out
-    deadline: float  # monotonic time at which its client gives up
-    deadline_timer: asyncio.TimerHandle | None = None
-    attempts: dict[int, Attempt] = field(default_factory=dict)
-    attempts_started: int = 0
-    may_have_run: bool = False
-    answered: bool = False  # answered, or nobody waits any more
+log = logging.getLogger(__name__)
 
 
 class PolicyDriver:
-    def __init__(self, gateway: Policy, upstream: UpstreamClient) -> None:
-        self.policy, self.upstream = gateway, upstream
+    """Connects one policy to the sockets of one process.
+
+    Attributes:
+        policy: Decides; it performs no I/O of its own.
+        upstream: Executes attempts and probes.
+        counter: Executes counter calls; None without a shared counter.
+        open_requests: The requests that are not released, by request id.
+        unanswered: How many of them are not closed.
+        now: The time of the latest event.
+    """
+
+    def __init__(self, policy: Policy, upstream: UpstreamClient) -> None:
+        self.policy = policy
+        self.upstream = upstream
         self.counter: CounterClient | None = None
-        self.limits = gateway.settings.limits
-        self.loop = asyncio.get_running_loop()
         self.open_requests: dict[int, OpenRequest] = {}
-        self.events: deque[Event] = deque()
-        self.processing = False
-        self.now = 0.0
+        self.unanswered = 0
         self.last_request_id = 0
-        self.unsupported_actions: set[str] = set()  # kinds of action that were logged as not supported
-        self.unanswered = 0  # requests without their answer
+        self.now = 0.0
+        self._limits = policy.settings.limits
+        self._loop = asyncio.get_running_loop()
+        self._events: deque[Event] = deque()  # that wait for their turn
+        self._is_processing = False
+        self._unsupported_actions: set[str] = set()  # type names that have been logged
 
-    # --- events in ---------------------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------------------------
 
     def current_time(self) -> float:
-        """Unix time, as lease windows must agree between front doors; it never goes back."""
+        """Unix time, which never goes back.
+
+        Lease windows follow from it, so all gateways need the same clock.
+        """
         self.now = max(self.now, time.time())
         return self.now
 
     def deliver(self, event: Event) -> None:
-        """Hand an event to the module.  Those that its actions bring about wait for their turn."""
-        self.events.append(event)
-        if self.processing:
+        """Deliver an event to the policy and execute its actions.
+
+        Events that these actions cause are delivered after them, in order.
+        """
+        self._events.append(event)
+        if self._is_processing:
             return
-        self.processing = True
+        self._is_processing = True
         try:
-            while self.events:
-                self.process_event(self.events.popleft())
+            while self._events:
+                self._process_event(self._events.popleft())
         finally:
-            self.processing = False
-
-    def process_event(self, event: Event) -> None:
-        gateway = self.policy
-        failed = False
-        try:
-            actions = gateway.handle(self.current_time(), event)
-        except Exception:
-            # One bad event must not lose the others: what was decided before the error still holds.
-            log.exception("the module failed on %s", type(event).__name__)
-            actions, failed = gateway.actions, True
-        for action in actions:
-            try:
-                self.execute(action)
-            except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
-                if isinstance(action, StartAttempt | Reject | Fail):
-                    self.answer_after_error(action.request_id)
-        if failed and isinstance(event, Request | AttemptFinished):
-            self.answer_after_error(event.request_id)
-
-    def answer_after_error(self, number: int) -> None:
-        """A truthful final answer for a request that an error has left without one."""
-        request = self.open_requests.get(number)
-        if request is not None and not request.answered and not request.attempts:
-            self.respond(request, Response(502 if request.may_have_run else 503))
-            self.events.append(ClientDisconnected(number))
-            self.release_if_done(request)
+            self._is_processing = False
 
     def submit(
         self,
-        make: Callable[[int], Request],
-        end: float,
-        payload: Callable[[float], bytes],
-        reply: Callable[[Response], None],
-        over: Callable[[], None],
+        build_request: Callable[[int], Request],
+        deadline: float,
+        encode_for_endpoint: Callable[[float], bytes],
+        on_response: Callable[[Response], None],
+        on_released: Callable[[], None],
     ) -> OpenRequest:
+        """Open a request and deliver it to the policy.
+
+        Args:
+            build_request: The policy's event, given the new request id.
+            deadline: As in ``OpenRequest``, like the remaining arguments.
+            encode_for_endpoint: See there.
+            on_response: See there.
+            on_released: See there.
+        """
         self.last_request_id += 1
-        request = OpenRequest(self.last_request_id, payload, reply, over, end)
+        request = OpenRequest(self.last_request_id, encode_for_endpoint, on_response, on_released, deadline)
         self.open_requests[request.request_id] = request
         self.unanswered += 1
-        left = end - GUARD_MARGIN - time.monotonic()
-        request.deadline_timer = self.loop.call_later(max(0.0, left), self.deadline_reached, request)
-        self.deliver(make(request.request_id))
+        time_remaining = deadline - RESPONSE_MARGIN_SECONDS - time.monotonic()
+        request.deadline_timer = self._loop.call_later(
+            max(0.0, time_remaining), self._handle_deadline, request
+        )
+        self.deliver(build_request(request.request_id))
         return request
 
     def client_disconnected(self, request: OpenRequest) -> None:
-        """The client has gone away; attempts that are out run on, those that only wait are given up."""
-        if not request.answered:
-            self.respond(request, None)
-            self.deliver(ClientDisconnected(request.request_id))
-            self.cancel_unwritten_attempts(request)
-            self.release_if_done(request)
-
-    def cancel_unwritten_attempts(self, request: OpenRequest) -> None:
-        """What is not written whole must not be, as nobody waits for it or it is answered: it never ran."""
-        for attempt in list(request.attempts.values()):
-            if attempt.connection is None or attempt.connection.has_unsent_bytes:
-                attempt.abandon(Outcome.CANCELLED)
+        """Close a request without a response: attempts on the wire run on, unwritten ones are cancelled."""
+        if request.answered:
+            return
+        self._close(request)
+        self.deliver(ClientDisconnected(request.request_id))
+        self._cancel_unwritten_attempts(request)
+        self._release_if_done(request)
 
-    def deadline_reached(self, request: OpenRequest) -> None:
-        """Guards the rule that no request is lost: its client's time is nearly up, and nobody answered."""
+    def answer_open_requests(self) -> None:
+        """Respond to all open requests, as the process is about to end."""
+        for request in list(self.open_requests.values()):
+            self._handle_deadline(request)
+
+    def apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[int, Address]) -> None:
+        """Apply an endpoint list or its change to the connections, then deliver it to the policy.
+
+        Args:
+            update: The list or change.
+            addresses: Address of each endpoint in it that is not gone, by endpoint id.
+        """
+        if update.kind is not UpdateKind.DELTA:
+            for endpoint_id in [known for known in self.upstream.pools if known not in addresses]:
+                self.upstream.remove_endpoint(endpoint_id)
+        for record in update.records:
+            self._apply_endpoint_record(record, addresses)
+        self.deliver(update)
+
+    def _apply_endpoint_record(self, record: EndpointRecord, addresses: dict[int, Address]) -> None:
+        endpoint_id = record.endpoint_id
+        if record.state is EndpointState.GONE:
+            self.upstream.remove_endpoint(endpoint_id)
+        else:
+            self.upstream.set_endpoint(endpoint_id, addresses[endpoint_id], record.started_at)
+        if record.state is EndpointState.DRAINING:
+            self.upstream.cancel_waiting(endpoint_id)
+
+    def _process_event(self, event: Event) -> None:
+        policy_failed = False
+        try:
+            actions = self.policy.handle(self.current_time(), event)
+        except Exception:
+            # An error on one event must not lose other requests: the actions decided before it are executed.
+            log.exception("the policy failed on %s", type(event).__name__)
+            actions = self.policy.actions
+            policy_failed = True
+        for action in actions:
+            self._try_execute(action)
+        if policy_failed and isinstance(event, Request | AttemptFinished):
+            self._respond_after_error(event.request_id)
+
+    def _handle_deadline(self, request: OpenRequest) -> None:
+        """Respond to a request whose deadline is near, whatever the policy does."""
         if request.answered:
             return
         for attempt in list(request.attempts.values()):
             attempt.abandon(Outcome.TIMEOUT)
-        if not request.answered:  # what never ran may have been answered just now
-            self.respond(request, Response(504))
-            self.deliver(ClientDisconnected(request.request_id))
-            self.release_if_done(request)
+        if request.answered:  # an attempt that never ran ends at once, and the policy may have responded
+            return
+        self._respond(request, Response(HTTPStatus.GATEWAY_TIMEOUT))
+        self.deliver(ClientDisconnected(request.request_id))
+        self._release_if_done(request)
 
-    def answer_open_requests(self) -> None:
-        """The process is about to end: what is still held gets its final answer."""
-        for request in list(self.open_requests.values()):
-            self.deadline_reached(request)
-
-    def apply_endpoint_update(self, members: EndpointUpdate, addresses: dict[int, Address]) -> None:
-        if members.kind is not UpdateKind.DELTA:
-            for backend in [b for b in self.upstream.pools if b not in addresses]:
-                self.upstream.remove_endpoint(backend)
-        for entry in members.records:
-            if entry.state is EndpointState.GONE:
-                self.upstream.remove_endpoint(entry.endpoint_id)
-            else:
-                self.upstream.set_endpoint(entry.endpoint_id, addresses[entry.endpoint_id], entry.started_at)
-            if entry.state is EndpointState.DRAINING:
-                self.upstream.cancel_waiting(entry.endpoint_id)
-        self.deliver(members)
-
-    # --- actions out -------------------------------------------------------------------------------
-
-    def execute(self, action: Action) -> None:
+    def _handle_attempt_finished(
+        self, request: OpenRequest, number: int, endpoint_id: int, result: AttemptResult
+    ) -> None:
+        request.attempts.pop(number, None)
+        if not result.outcome.never_ran:
+            request.may_have_run = True
+        if result.outcome is Outcome.OK and not request.answered:
+            self._respond(request, Response(HTTPStatus.OK, result.body, result.content_type))
+        was_closed = request.answered
+        self.deliver(
+            AttemptFinished(
+                request_id=request.request_id,
+                attempt=number,
+                endpoint_id=endpoint_id,
+                outcome=result.outcome,
+                request_closed=was_closed,
+                elapsed=result.elapsed,
+                charged_units=0,
+                metered_usage=0,
+                load_report=result.load_report,
+            )
+        )
+        if was_closed:
+            self._cancel_unwritten_attempts(request)
+        self._release_if_done(request)
+
+    # --- actions -----------------------------------------------------------------------------------
+
+    def _try_execute(self, action: Action) -> None:
+        try:
+            self._execute(action)
+        except Exception:
+            log.exception("could not execute %s", type(action).__name__)
+            if isinstance(action, StartAttempt | Reject | Fail):
+                self._respond_after_error(action.request_id)
+
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
-                self.start_attempt(action)
+                self._start_attempt(action)
             case SetTimer():
-                self.set_timer(action.at, action.token)
+                self._set_timer(action.at, action.token)
             case AddToCounter():
-                if self.counter is None:
-                    self.events.append(CounterReply(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
-                else:
-                    self.counter.add(action)
+                self._add_to_counter(action)
             case Reject():
-                self.finish(action.request_id, Response(503, retry_after=action.retry_after))
+                rejection = Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=action.retry_after)
+                self._finish(action.request_id, rejection)
             case Fail():
-                self.finish(action.request_id, Response(502))
+                self._finish(action.request_id, Response(HTTPStatus.BAD_GATEWAY))
             case Cancel():
-                request = self.open_requests.get(action.request_id)
-                if request is not None and (attempt := request.attempts.get(action.attempt)) is not None:
-                    attempt.abandon(Outcome.CANCELLED)
+                self._cancel_attempt(action)
             case Probe():
-                backend = action.endpoint_id
-                self.upstream.probe(
-                    backend,
-                    lambda r: self.deliver(ProbeFinished(backend, r.outcome, r.elapsed, r.load_report)),
-                )
+                self._probe(action.endpoint_id)
             case CloseIdle():
                 self.upstream.close_idle(action.endpoint_id)
             case Log():
-                log.info("module: %s", action.text)
-            case _:  # discovery is always watched, and front doors cannot talk to each other
-                if type(action).__name__ not in self.unsupported_actions:
-                    self.unsupported_actions.add(type(action).__name__)
-                    log.warning("not supported here: %s", type(action).__name__)
+                log.info("policy: %s", action.text)
+            case _:  # the endpoint list is always watched, and gateways have no channel to each other
+                self._log_unsupported(type(action).__name__)
 
-    def start_attempt(self, action: StartAttempt) -> None:
+    def _start_attempt(self, action: StartAttempt) -> None:
         request = self.open_requests.get(action.request_id)
-        number = request.attempts_started if request is not None else 0
-        if request is not None:
-            request.attempts_started += 1
-        left = request.deadline - ATTEMPT_MARGIN - time.monotonic() if request is not None else 0.0
-        if (
-            request is None
-            or request.answered
-            or left <= 0
-            or number >= self.limits.max_attempts
-            or (request.attempts and not self.limits.may_hedge)
-        ):
-            closed = request is None or request.answered
-            self.events.append(
-                AttemptFinished(
-                    action.request_id, number, action.endpoint_id, Outcome.NOT_STARTED, closed, 0.0, 0, 0, ()
-                )
-            )
+        if request is None:
+            self._report_not_started(action, number=0, request_closed=True)
+            return
+        number = request.attempts_started
+        request.attempts_started += 1
+        time_remaining = request.deadline - ATTEMPT_MARGIN_SECONDS - time.monotonic()
+        if time_remaining <= 0 or not self._may_start_attempt(request, number):
+            self._report_not_started(action, number, request.answered)
             return
-        timeout = min(left, action.timeout) if action.timeout > 0 else left
+        timeout = min(time_remaining, action.timeout) if action.timeout > 0 else time_remaining
 
-        def done(result: AttemptResult) -> None:
-            self.attempt_finished(request, number, action.endpoint_id, result)
+        def on_finished(result: AttemptResult) -> None:
+            self._handle_attempt_finished(request, number, action.endpoint_id, result)
 
         attempt = self.upstream.start_attempt(
-            action.endpoint_id, request.encode_for_endpoint(timeout), timeout, done
+            action.endpoint_id, request.encode_for_endpoint(timeout), timeout, on_finished
         )
         if not attempt.is_finished:
             request.attempts[number] = attempt
 
-    def attempt_finished(
-        self, request: OpenRequest, number: int, backend: int, result: AttemptResult
-    ) -> None:
-        request.attempts.pop(number, None)
-        if not result.outcome.never_ran:
-            request.may_have_run = True
-        if result.outcome is Outcome.OK and not request.answered:
-            self.respond(request, Response(200, result.body, result.content_type))
-        closed = request.answered
-        self.deliver(
+    def _may_start_attempt(self, request: OpenRequest, number: int) -> bool:
+        """Whether the rules of the deployment allow a further attempt, whatever the policy decides."""
+        if request.answered or number >= self._limits.max_attempts:
+            return False
+        return self._limits.may_hedge or not request.attempts
+
+    def _report_not_started(self, action: StartAttempt, number: int, request_closed: bool) -> None:
+        """Tell the policy, after its present actions, that an attempt was not started."""
+        self._events.append(
             AttemptFinished(
-                request.request_id,
-                number,
-                backend,
-                result.outcome,
-                closed,
-                result.elapsed,
-                0,
-                0,
-                result.load_report,
+                request_id=action.request_id,
+                attempt=number,
+                endpoint_id=action.endpoint_id,
+                outcome=Outcome.NOT_STARTED,
+                request_closed=request_closed,
+                elapsed=0.0,
+                charged_units=0,
+                metered_usage=0,
+                load_report=(),
             )
         )
-        if closed:
-            self.cancel_unwritten_attempts(request)
-        self.release_if_done(request)
-
-    def finish(self, number: int, answer: Response) -> None:
-        request = self.open_requests.get(number)
-        if request is not None and not request.answered:
-            self.respond(request, answer)
-            self.cancel_unwritten_attempts(request)
-            self.release_if_done(request)
-
-    def respond(self, request: OpenRequest, answer: Response | None) -> None:
-        request.answered = True
-        self.unanswered -= 1
-        if request.deadline_timer is not None:
-            request.deadline_timer.cancel()
-        if answer is not None:
-            request.on_response(answer)
-
-    def release_if_done(self, request: OpenRequest) -> None:
-        if (
-            request.answered
-            and not request.attempts
-            and self.open_requests.pop(request.request_id, None) is not None
-        ):
-            request.on_released()
 
-    def set_timer(self, at: float, token: int) -> None:
-        # The loop counts whole milliseconds from a cached clock and may fire early by some: look again.
+    def _cancel_attempt(self, action: Cancel) -> None:
+        request = self.open_requests.get(action.request_id)
+        attempt = request.attempts.get(action.attempt) if request is not None else None
+        if attempt is not None:
+            attempt.abandon(Outcome.CANCELLED)
+
+    def _add_to_counter(self, action: AddToCounter) -> None:
+        if self.counter is None:
+            self._events.append(CounterReply(action.name, Outcome.CONNECT_FAILED, total=0.0, elapsed=0.0))
+        else:
+            self.counter.add(action)
+
+    def _probe(self, endpoint_id: int) -> None:
+        def on_finished(result: AttemptResult) -> None:
+            self.deliver(ProbeFinished(endpoint_id, result.outcome, result.elapsed, result.load_report))
+
+        self.upstream.probe(endpoint_id, on_finished)
+
+    def _log_unsupported(self, action_type: str) -> None:
+        """Log an action that has no meaning in this process, once for each type."""
+        if action_type not in self._unsupported_actions:
+            self._unsupported_actions.add(action_type)
+            log.warning("unsupported action: %s", action_type)
+
+    def _set_timer(self, at: float, token: int) -> None:
+        # The loop counts whole milliseconds of a cached clock and may call some early: check again then.
         delay = math.ceil((at - self.current_time()) * 1000) / 1000
-        self.loop.call_later(max(0.001, delay), self.timer_due, at, token)
+        self._loop.call_later(max(MIN_TIMER_SECONDS, delay), self._handle_timer, at, token)
 
-    def timer_due(self, at: float, token: int) -> None:
+    def _handle_timer(self, at: float, token: int) -> None:
         if self.current_time() < at:
-            self.set_timer(at, token)
+            self._set_timer(at, token)
         else:
             self.deliver(TimerFired(token))
+
+    # --- closing a request -------------------------------------------------------------------------
+
+    def _finish(self, request_id: int, response: Response) -> None:
+        """Respond to a request as the policy decided, unless it is closed."""
+        request = self.open_requests.get(request_id)
+        if request is None or request.answered:
+            return
+        self._respond(request, response)
+        self._cancel_unwritten_attempts(request)
+        self._release_if_done(request)
+
+    def _respond_after_error(self, request_id: int) -> None:
+        """Respond to a request that an error has left without a response and without attempts in flight.
+
+        The status is 503 only if no endpoint has executed the request.
+        """
+        request = self.open_requests.get(request_id)
+        if request is None or request.answered or request.attempts:
+            return
+        status = HTTPStatus.BAD_GATEWAY if request.may_have_run else HTTPStatus.SERVICE_UNAVAILABLE
+        self._respond(request, Response(status))
+        self._events.append(ClientDisconnected(request_id))
+        self._release_if_done(request)
+
+    def _respond(self, request: OpenRequest, response: Response) -> None:
+        self._close(request)
+        request.on_response(response)
+
+    def _close(self, request: OpenRequest) -> None:
+        request.answered = True
+        self.unanswered -= 1
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+
+    def _cancel_unwritten_attempts(self, request: OpenRequest) -> None:
+        """Cancel the attempts of a closed request that are not completely written: they never ran."""
+        for attempt in list(request.attempts.values()):
+            if attempt.connection is None or attempt.connection.has_unsent_bytes:
+                attempt.abandon(Outcome.CANCELLED)
+
+    def _release_if_done(self, request: OpenRequest) -> None:
+        if not request.answered or request.attempts:
+            return
+        if self.open_requests.pop(request.request_id, None) is not None:
+            request.on_released()
