--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -1,65 +1,79 @@
-"""Host loop for the simulator: frames in on standard input, replies out on standard output."""
+"""Adapter that hosts instances of the policy for the simulator: batches on stdin, replies on stdout."""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from gateway.policy.actions import Action
 from gateway.policy.engine import Policy
 from gateway.settings_parser import parse_settings
 from gateway.simulator import codec
+from gateway.simulator.wire import Batch, Configure, Crash, Fault, WireAction, WireError
 
-Listed = list[Action | codec.Fault]
+EXIT_MALFORMED_INPUT = 1
 
 
-def answer(gateways: dict[int, Policy], batch: codec.Batch) -> bytes:
-    """Hand a batch's events to their instances and encode what they do."""
-    out: dict[int, Listed] = {}
+def answer(instances: dict[int, Policy], batch: Batch) -> bytes:
+    """Deliver a batch's events to their instances and encode the reply.
+
+    An exception of an instance becomes a fault in the reply; the instance keeps running.
+    """
+    actions: dict[int, list[WireAction]] = {}
     for instance, event in batch.records:
-        listed = out.setdefault(instance, [])
+        instance_actions = actions.setdefault(instance, [])
         try:
-            if isinstance(event, codec.Configure):
-                gateways[instance] = Policy(parse_settings(event.text), event.seed)
-            elif isinstance(event, codec.Crash):
-                gateways.pop(instance, None)
-                listed.clear()
-            elif instance in gateways:
-                listed.extend(gateways[instance].handle(batch.now, event))
-        except Exception as error:  # any failure of the module is reported, none is hidden
-            listed.append(codec.Fault(f"{type(error).__name__}: {error}"))
-    return codec.encode_reply(batch.number, out.items())
-
-
-def read_batch(source: BinaryIO) -> codec.Batch | None:
-    """The next batch, or None at a clean end of input."""
-    head = source.read(codec.HEADER.size)
-    if not head:
+            if isinstance(event, Configure):
+                instances[instance] = Policy(parse_settings(event.settings), event.seed)
+            elif isinstance(event, Crash):
+                instances.pop(instance, None)
+                instance_actions.clear()
+            elif instance in instances:
+                instance_actions.extend(instances[instance].handle(batch.now, event))
+        except Exception as error:  # the simulator reports every failure of the policy
+            instance_actions.append(Fault(f"{type(error).__name__}: {error}"))
+    return codec.encode_reply(batch.number, actions.items())
+
+
+def read_batch(source: BinaryIO) -> Batch | None:
+    """The next batch, or None at the end of the input.
+
+    Raises:
+        WireError: The batch is malformed, or the input ends inside it.
+    """
+    header = source.read(codec.BATCH_HEADER.size)
+    if not header:
         return None
-    if len(head) < codec.HEADER.size:
-        raise codec.WireError("the input ends inside a header")
-    size = codec.HEADER.unpack(head)[1] + codec.LENGTH_END - codec.HEADER.size
-    if size < 0:
-        raise codec.WireError("the batch's length is shorter than its header")
-    body = source.read(size)
-    if len(body) < size:
-        raise codec.WireError("the input ends inside a batch")
-    return codec.decode_batch(head, body)
+    if len(header) < codec.BATCH_HEADER.size:
+        raise WireError("the input ends inside a header")
+    length = codec.BATCH_HEADER.unpack(header)[1]
+    body_size = length + codec.LENGTH_FIELD_END - codec.BATCH_HEADER.size
+    if body_size < 0:
+        raise WireError("the batch's length is shorter than its header")
+    body = source.read(body_size)
+    if len(body) < body_size:
+        raise WireError("the input ends inside a batch")
+    return codec.decode_batch(header, body)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    gateways: dict[int, Policy] = {}
+    """Answer batches until the end of the input.
+
+    Raises:
+        WireError: As for ``read_batch``.
+    """
+    instances: dict[int, Policy] = {}
     while (batch := read_batch(source)) is not None:
-        sink.write(answer(gateways, batch))
+        sink.write(answer(instances, batch))
         sink.flush()
 
 
 def main() -> int:
+    """Serve standard input; returns the exit status.  Malformed input ends it with one line on stderr."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except codec.WireError as error:
+    except WireError as error:
         print(f"simulator adapter: {error}", file=sys.stderr)
-        return 1
+        return EXIT_MALFORMED_INPUT
     return 0
 
 
--- a/gateway/simulator/codec.py
+++ b/gateway/simulator/codec.py
@@ -1,13 +1,12 @@
-"""Codec for the simulator's wire 'quartz-61d8': bytes to events, actions to bytes, settings text to types."""
+"""Codec for the simulator's wire: bytes of a batch to events, actions to bytes of the reply."""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
+from typing import Any
 
 from gateway.policy.actions import (
-    Action,
     AddToCounter,
     Cancel,
     CloseIdle,
@@ -29,7 +28,6 @@
     EndpointRecord,
     EndpointState,
     EndpointUpdate,
-    Event,
     Outcome,
     PeerMessage,
     ProbeFinished,
@@ -37,242 +35,323 @@
     TimerFired,
     UpdateKind,
 )
+from gateway.simulator.wire import (
+    ActionCode,
+    Batch,
+    Configure,
+    Crash,
+    EventCode,
+    Fault,
+    WireAction,
+    WireError,
+    WireEvent,
+)
 
+BATCH_HEADER = struct.Struct("<IIdI")  # record count, length, time, batch number
+LENGTH_FIELD_END = 8  # bytes of a batch header up to and with its length field, which counts what follows it
+REPLY_HEADER = struct.Struct("<III")  # length, record count, batch number
+REPLY_LENGTH_FIELD_END = 4  # bytes of a reply header up to and with its length field
 
-class WireError(ValueError):
-    """A frame that no correct peer would send."""
-
-
-@dataclass(slots=True)
-class Configure:
-    seed: int
-    text: str
-
-
-@dataclass(slots=True)
-class Crash:
-    pass
-
-
-@dataclass(slots=True)
-class Fault:
-    text: str
+# Records of a batch, without their code.
+_CONFIGURE = struct.Struct("<QI")
+_ENDPOINT_UPDATE = struct.Struct("<BQI")
+_ENDPOINT_RECORD = struct.Struct("<HdBBHfI")
+_REQUEST = struct.Struct("<QHIQdfffB")
+_ATTEMPT_STARTED = struct.Struct("<QHId")
+_ATTEMPT_FINISHED = struct.Struct("<QHBIBdHHB")
+_REQUEST_ID = struct.Struct("<Q")
+_TIMER_TOKEN = struct.Struct("<Q")
+_PROBE_FINISHED = struct.Struct("<IBdB")
+_PEER_MESSAGE = struct.Struct("<HH")
+_COUNTER_REPLY = struct.Struct("<BQfd")
+_INSTANCE = struct.Struct("<I")
+_INSTANCE_CODE = EventCode.INSTANCE.value  # a plain number, as every record is compared with it
+_LOAD_REPORT_COLUMN_BYTES = 4
+_FLAG_IS_RETRY = 2
+_FLAG_IS_WRITE = 4
+
+# Records of a reply, with their code.
+_START_ATTEMPT = struct.Struct("<BQId")
+_REJECT = struct.Struct("<BQd")
+_CANCEL = struct.Struct("<BQH")
+_SET_TIMER = struct.Struct("<BdQ")
+_CODE_AND_REQUEST = struct.Struct("<BQ")
+_CODE_AND_ENDPOINT = struct.Struct("<BI")
+_CODE_AND_INSTANCE = struct.Struct("<BI")
+_CODE_AND_FLAG = struct.Struct("<BB")
+_ADD_TO_COUNTER = struct.Struct("<BQdf")
+_SEND_TO_PEERS = struct.Struct("<BIH")
+_CODE_AND_TEXT_SIZE = struct.Struct("<BH")
+_ALL_PEERS = 0xFFFFFFFF
+_MAX_TEXT_BYTES = 0xFFFF
 
+_OUTCOMES = {outcome.value: outcome for outcome in Outcome}
+_ENDPOINT_STATES = {state.value: state for state in EndpointState}
+_UPDATE_KINDS = {kind.value: kind for kind in UpdateKind}
 
-@dataclass(slots=True)
-class Batch:
-    now: float
-    number: int
-    records: list[tuple[int, Event | Configure | Crash]]
+# --- decoding ----------------------------------------------------------------------------------
+# Each decoder gets the frame's body and where its record begins, behind the code.
 
+_Decoded = tuple[WireEvent, int]  # the event, and where the next record begins
 
-HEADER = struct.Struct("<IIdI")
-LENGTH_END = 8  # bytes of a batch header up to and with its length field
-REPLY = struct.Struct("<III")
-_U16 = struct.Struct("<H")
-_U32 = struct.Struct("<I")
-_CONFIGURE = struct.Struct("<QI")
-_VIEW = struct.Struct("<BQI")
-_ENTRY = struct.Struct("<HdBBHfI")
-_DEMAND = struct.Struct("<QHIQdfffB")
-_UNDER_WAY = struct.Struct("<QHId")
-_FINISHED = struct.Struct("<QHBIBdHHB")
-_ID = struct.Struct("<Q")
-_CHECKED = struct.Struct("<IBdB")
-_SAYS = struct.Struct("<HH")
-_SUM = struct.Struct("<BQfd")
-_ASSIGN = struct.Struct("<BQId")
-_BOUNCE = struct.Struct("<BQd")
-_CALL_OFF = struct.Struct("<BQH")
-_TIMER = struct.Struct("<BdQ")
-_CODE_ID = struct.Struct("<BQ")
-_CODE_U32 = struct.Struct("<BI")
-_CODE_FLAG = struct.Struct("<BB")
-_TALLY = struct.Struct("<BQdf")
-_ANNOUNCE = struct.Struct("<BIH")
-_TEXT = struct.Struct("<BH")
-_MARK_RETRY = 2
-_MARK_WRITE = 4
-_ALL_PEERS = 0xFFFFFFFF
-_TEXT_LIMIT = 0xFFFF
 
-_OUTCOMES = {int(o): o for o in Outcome}
-_STATES = {int(s): s for s in EndpointState}
-_LISTINGS = {int(k): k for k in UpdateKind}
-_Got = tuple[Event | Configure | Crash, int]
+def _read_bytes(body: bytes, start: int, size: int) -> bytes:
+    if start + size > len(body):
+        raise WireError("a field runs past the end of the frame")
+    return body[start : start + size]
 
 
-def _outcome(code: int) -> Outcome:
+def _decode_outcome(code: int) -> Outcome:
     try:
         return _OUTCOMES[code]
     except KeyError:
         raise WireError(f"unknown outcome {code}") from None
 
 
-def _bytes(buf: bytes, at: int, size: int) -> bytes:
-    if at + size > len(buf):
-        raise WireError("a field runs past the end of the frame")
-    return buf[at : at + size]
-
-
-def _configure(buf: bytes, at: int) -> _Got:
-    seed, size = _CONFIGURE.unpack_from(buf, at)
-    at += _CONFIGURE.size
-    return Configure(seed, _bytes(buf, at, size).decode()), at + size
-
-
-def _view(buf: bytes, at: int) -> _Got:
-    form, version, count = _VIEW.unpack_from(buf, at)
-    at += _VIEW.size
-    if form not in _LISTINGS:
-        raise WireError(f"unknown list form {form}")
-    body = _bytes(buf, at, count * _ENTRY.size)
-    entries = []
-    for zone, started, state, kind, cell, weight, backend in _ENTRY.iter_unpack(body):
-        if state not in _STATES:
-            raise WireError(f"unknown backend state {state}")
-        entries.append(EndpointRecord(backend, zone, started, _STATES[state], kind, cell, weight))
-    return EndpointUpdate(_LISTINGS[form], version, tuple(entries)), at + len(body)
-
-
-def _demand(buf: bytes, at: int) -> _Got:
-    rid, cls, plan, customer, left, units, width, first, marks = _DEMAND.unpack_from(buf, at)
+def _decode_load_report(body: bytes, start: int, columns: int) -> tuple[tuple[float, ...], int]:
+    data = _read_bytes(body, start, _LOAD_REPORT_COLUMN_BYTES * columns)
+    return struct.unpack(f"<{columns}f", data), start + len(data)
+
+
+def _decode_configure(body: bytes, start: int) -> _Decoded:
+    seed, size = _CONFIGURE.unpack_from(body, start)
+    start += _CONFIGURE.size
+    return Configure(seed, _read_bytes(body, start, size).decode()), start + size
+
+
+def _decode_endpoint_update(body: bytes, start: int) -> _Decoded:
+    kind, version, count = _ENDPOINT_UPDATE.unpack_from(body, start)
+    start += _ENDPOINT_UPDATE.size
+    if kind not in _UPDATE_KINDS:
+        raise WireError(f"unknown kind of endpoint update {kind}")
+    data = _read_bytes(body, start, count * _ENDPOINT_RECORD.size)
+    records = []
+    for zone, started_at, state, machine_type, cell, weight, endpoint_id in _ENDPOINT_RECORD.iter_unpack(
+        data
+    ):
+        if state not in _ENDPOINT_STATES:
+            raise WireError(f"unknown endpoint state {state}")
+        records.append(
+            EndpointRecord(endpoint_id, zone, started_at, _ENDPOINT_STATES[state], machine_type, cell, weight)
+        )
+    return EndpointUpdate(_UPDATE_KINDS[kind], version, tuple(records)), start + len(data)
+
+
+def _decode_request(body: bytes, start: int) -> _Decoded:
+    (
+        request_id, class_index, plan_index, customer, time_remaining,
+        units, gateway_set_size, first_gateway, flags,
+    ) = _REQUEST.unpack_from(body, start)  # fmt: skip
     event = Request(
-        rid, cls, plan, customer, left, units, int(width), int(first),
-        bool(marks & _MARK_RETRY), bool(marks & _MARK_WRITE),
+        request_id, class_index, plan_index, customer, time_remaining,
+        units, int(gateway_set_size), int(first_gateway),
+        bool(flags & _FLAG_IS_RETRY), bool(flags & _FLAG_IS_WRITE),
     )  # fmt: skip
-    return event, at + _DEMAND.size
+    return event, start + _REQUEST.size
 
 
-def _under_way(buf: bytes, at: int) -> _Got:
-    return AttemptStarted(*_UNDER_WAY.unpack_from(buf, at)), at + _UNDER_WAY.size
+def _decode_attempt_started(body: bytes, start: int) -> _Decoded:
+    return AttemptStarted(*_ATTEMPT_STARTED.unpack_from(body, start)), start + _ATTEMPT_STARTED.size
 
 
-def _report(buf: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
-    body = _bytes(buf, at, 4 * count)
-    return struct.unpack(f"<{count}f", body), at + len(body)
-
-
-def _finished(buf: bytes, at: int) -> _Got:
-    rid, charged, closed, backend, how, spent, metered, attempt, count = _FINISHED.unpack_from(buf, at)
-    report, at = _report(buf, at + _FINISHED.size, count)
+def _decode_attempt_finished(body: bytes, start: int) -> _Decoded:
+    (
+        request_id, charged_units, request_closed, endpoint_id, outcome,
+        elapsed, metered_usage, attempt, columns,
+    ) = _ATTEMPT_FINISHED.unpack_from(body, start)  # fmt: skip
+    load_report, end = _decode_load_report(body, start + _ATTEMPT_FINISHED.size, columns)
     event = AttemptFinished(
-        rid, attempt, backend, _outcome(how), bool(closed), spent, charged, metered, report
-    )
-    return event, at
+        request_id, attempt, endpoint_id, _decode_outcome(outcome), bool(request_closed),
+        elapsed, charged_units, metered_usage, load_report,
+    )  # fmt: skip
+    return event, end
+
 
+def _decode_client_disconnected(body: bytes, start: int) -> _Decoded:
+    return ClientDisconnected(_REQUEST_ID.unpack_from(body, start)[0]), start + _REQUEST_ID.size
 
-def _left(buf: bytes, at: int) -> _Got:
-    return ClientDisconnected(_ID.unpack_from(buf, at)[0]), at + _ID.size
 
+def _decode_timer_fired(body: bytes, start: int) -> _Decoded:
+    return TimerFired(_TIMER_TOKEN.unpack_from(body, start)[0]), start + _TIMER_TOKEN.size
 
-def _fired(buf: bytes, at: int) -> _Got:
-    return TimerFired(_ID.unpack_from(buf, at)[0]), at + _ID.size
 
+def _decode_probe_finished(body: bytes, start: int) -> _Decoded:
+    endpoint_id, outcome, elapsed, columns = _PROBE_FINISHED.unpack_from(body, start)
+    load_report, end = _decode_load_report(body, start + _PROBE_FINISHED.size, columns)
+    return ProbeFinished(endpoint_id, _decode_outcome(outcome), elapsed, load_report), end
 
-def _checked(buf: bytes, at: int) -> _Got:
-    backend, how, spent, count = _CHECKED.unpack_from(buf, at)
-    report, at = _report(buf, at + _CHECKED.size, count)
-    return ProbeFinished(backend, _outcome(how), spent, report), at
 
+def _decode_peer_message(body: bytes, start: int) -> _Decoded:
+    sender, size = _PEER_MESSAGE.unpack_from(body, start)
+    start += _PEER_MESSAGE.size
+    return PeerMessage(sender, _read_bytes(body, start, size)), start + size
 
-def _says(buf: bytes, at: int) -> _Got:
-    source, size = _SAYS.unpack_from(buf, at)
-    at += _SAYS.size
-    return PeerMessage(source, _bytes(buf, at, size)), at + size
 
+def _decode_crash(_body: bytes, start: int) -> _Decoded:
+    return Crash(), start
 
-def _crash(buf: bytes, at: int) -> _Got:
-    return Crash(), at
 
+def _decode_counter_reply(body: bytes, start: int) -> _Decoded:
+    outcome, name, total, elapsed = _COUNTER_REPLY.unpack_from(body, start)
+    return CounterReply(name, _decode_outcome(outcome), total, elapsed), start + _COUNTER_REPLY.size
 
-def _sum(buf: bytes, at: int) -> _Got:
-    how, name, total, spent = _SUM.unpack_from(buf, at)
-    return CounterReply(name, _outcome(how), total, spent), at + _SUM.size
 
+_DECODERS: dict[int, Callable[[bytes, int], _Decoded]] = {
+    EventCode.CONFIGURE.value: _decode_configure,
+    EventCode.ENDPOINT_UPDATE.value: _decode_endpoint_update,
+    EventCode.REQUEST.value: _decode_request,
+    EventCode.ATTEMPT_STARTED.value: _decode_attempt_started,
+    EventCode.ATTEMPT_FINISHED.value: _decode_attempt_finished,
+    EventCode.CLIENT_DISCONNECTED.value: _decode_client_disconnected,
+    EventCode.TIMER_FIRED.value: _decode_timer_fired,
+    EventCode.PROBE_FINISHED.value: _decode_probe_finished,
+    EventCode.PEER_MESSAGE.value: _decode_peer_message,
+    EventCode.CRASH.value: _decode_crash,
+    EventCode.COUNTER_REPLY.value: _decode_counter_reply,
+}
 
-_AT = 12
-_DECODERS: dict[int, Callable[[bytes, int], _Got]] = {
-    1: _configure, 2: _view, 3: _demand, 4: _under_way, 5: _finished, 6: _left, 7: _fired,
-    8: _checked, 9: _says, 10: _crash, 11: _sum,
-}  # fmt: skip
 
+def decode_batch(header: bytes, body: bytes) -> Batch:
+    """Decode one batch from its header and the records behind it.
 
-def decode_batch(head: bytes, body: bytes) -> Batch:
-    """Decode one batch: its header and the records behind it."""
-    count, length, now, number = HEADER.unpack(head)
-    if length != len(body) + HEADER.size - LENGTH_END:
+    Raises:
+        WireError: The frame is malformed.
+    """
+    record_count, length, now, number = BATCH_HEADER.unpack(header)
+    if length != len(body) + BATCH_HEADER.size - LENGTH_FIELD_END:
         raise WireError("the batch's length does not match its body")
-    batch = Batch(now, number, [])
-    at, instance = 0, -1
+    batch = Batch(now, number)
     try:
-        for _ in range(count):
-            code = body[at]
-            at += 1
-            if code == _AT:
-                (instance,) = _U32.unpack_from(body, at)
-                at += _U32.size
-                continue
-            decoder = _DECODERS.get(code)
-            if decoder is None:
-                raise WireError(f"unknown record code {code}")
-            if instance < 0:
-                raise WireError("a record stands before any AT")
-            event, at = decoder(body, at)
-            batch.records.append((instance, event))
+        end = _decode_records(body, record_count, batch.records)
     except (struct.error, IndexError):
         raise WireError("the frame is truncated") from None
     except UnicodeDecodeError:
         raise WireError("the settings are not text") from None
-    if at != len(body):
+    if end != len(body):
         raise WireError("bytes follow the last record")
     return batch
 
 
-def encode_action(action: Action | Fault) -> bytes:
-    """One action as the record that carries it."""
-    match action:
-        case StartAttempt():
-            return _ASSIGN.pack(1, action.request_id, action.endpoint_id, action.timeout)
-        case AddToCounter():
-            return _TALLY.pack(13, action.name, action.expires_after, action.amount)
-        case SetTimer():
-            return _TIMER.pack(5, action.at, action.token)
-        case Reject():
-            return _BOUNCE.pack(2, action.request_id, action.retry_after)
-        case Fail():
-            return _CODE_ID.pack(3, action.request_id)
-        case Cancel():
-            return _CALL_OFF.pack(4, action.request_id, action.attempt)
-        case Probe():
-            return _CODE_U32.pack(6, action.endpoint_id)
-        case CloseIdle():
-            return _CODE_U32.pack(7, action.endpoint_id)
-        case SendToPeers():
-            peer = _ALL_PEERS if action.peer is None else action.peer
-            return _ANNOUNCE.pack(8, peer, len(action.data)) + action.data
-        case Log():
-            return _text(9, action.text)
-        case Fault():
-            return _text(10, action.text)
-        case WatchEndpoints():
-            return _CODE_FLAG.pack(11, action.enabled)
-        case FetchEndpoints():
-            return b"\x0c"
-    raise WireError(f"not an action: {action!r}")
-
-
-def _text(code: int, text: str) -> bytes:
-    data = text.encode()[:_TEXT_LIMIT]
-    return _TEXT.pack(code, len(data)) + data
-
-
-def encode_reply(number: int, actions: Iterable[tuple[int, list[Action | Fault]]]) -> bytes:
-    """The reply to one batch: each instance's actions behind a BY record."""
-    parts: list[bytes] = []
-    for instance, listed in actions:
-        if listed:
-            parts.append(_CODE_U32.pack(14, instance))
-            parts.extend(map(encode_action, listed))
-    body = b"".join(parts)
-    return REPLY.pack(len(body) + REPLY.size - _U32.size, len(parts), number) + body
+def _decode_records(body: bytes, record_count: int, records: list[tuple[int, WireEvent]]) -> int:
+    """Append the decoded events to ``records``; returns where the last record ends."""
+    instance = None
+    position = 0
+    for _ in range(record_count):
+        code = body[position]
+        position += 1
+        if code == _INSTANCE_CODE:
+            (instance,) = _INSTANCE.unpack_from(body, position)
+            position += _INSTANCE.size
+            continue
+        decoder = _DECODERS.get(code)
+        if decoder is None:
+            raise WireError(f"unknown record code {code}")
+        if instance is None:
+            raise WireError("an event comes before any instance")
+        event, position = decoder(body, position)
+        records.append((instance, event))
+    return position
+
+
+# --- encoding ----------------------------------------------------------------------------------
+
+
+def _encode_start_attempt(action: StartAttempt) -> bytes:
+    return _START_ATTEMPT.pack(
+        ActionCode.START_ATTEMPT, action.request_id, action.endpoint_id, action.timeout
+    )
+
+
+def _encode_reject(action: Reject) -> bytes:
+    return _REJECT.pack(ActionCode.REJECT, action.request_id, action.retry_after)
+
+
+def _encode_fail(action: Fail) -> bytes:
+    return _CODE_AND_REQUEST.pack(ActionCode.FAIL, action.request_id)
+
+
+def _encode_cancel(action: Cancel) -> bytes:
+    return _CANCEL.pack(ActionCode.CANCEL, action.request_id, action.attempt)
+
+
+def _encode_set_timer(action: SetTimer) -> bytes:
+    return _SET_TIMER.pack(ActionCode.SET_TIMER, action.at, action.token)
+
+
+def _encode_probe(action: Probe) -> bytes:
+    return _CODE_AND_ENDPOINT.pack(ActionCode.PROBE, action.endpoint_id)
+
+
+def _encode_close_idle(action: CloseIdle) -> bytes:
+    return _CODE_AND_ENDPOINT.pack(ActionCode.CLOSE_IDLE, action.endpoint_id)
+
+
+def _encode_send_to_peers(action: SendToPeers) -> bytes:
+    peer = _ALL_PEERS if action.peer is None else action.peer
+    return _SEND_TO_PEERS.pack(ActionCode.SEND_TO_PEERS, peer, len(action.data)) + action.data
+
+
+def _encode_log(action: Log) -> bytes:
+    return _encode_text(ActionCode.LOG, action.text)
+
+
+def _encode_fault(fault: Fault) -> bytes:
+    return _encode_text(ActionCode.FAULT, fault.text)
+
+
+def _encode_text(code: ActionCode, text: str) -> bytes:
+    data = text.encode()[:_MAX_TEXT_BYTES]
+    return _CODE_AND_TEXT_SIZE.pack(code, len(data)) + data
+
+
+def _encode_watch_endpoints(action: WatchEndpoints) -> bytes:
+    return _CODE_AND_FLAG.pack(ActionCode.WATCH_ENDPOINTS, action.enabled)
+
+
+def _encode_fetch_endpoints(_action: FetchEndpoints) -> bytes:
+    return bytes([ActionCode.FETCH_ENDPOINTS])
+
+
+def _encode_add_to_counter(action: AddToCounter) -> bytes:
+    return _ADD_TO_COUNTER.pack(ActionCode.ADD_TO_COUNTER, action.name, action.expires_after, action.amount)
+
+
+_ENCODERS: dict[type[WireAction], Callable[[Any], bytes]] = {
+    StartAttempt: _encode_start_attempt,
+    Reject: _encode_reject,
+    Fail: _encode_fail,
+    Cancel: _encode_cancel,
+    SetTimer: _encode_set_timer,
+    Probe: _encode_probe,
+    CloseIdle: _encode_close_idle,
+    SendToPeers: _encode_send_to_peers,
+    Log: _encode_log,
+    Fault: _encode_fault,
+    WatchEndpoints: _encode_watch_endpoints,
+    FetchEndpoints: _encode_fetch_endpoints,
+    AddToCounter: _encode_add_to_counter,
+}
+
+
+def encode_action(action: WireAction) -> bytes:
+    """One action as its record, with the code.
+
+    Raises:
+        WireError: The wire has no record for it.
+    """
+    encoder = _ENCODERS.get(type(action))
+    if encoder is None:
+        raise WireError(f"not an action: {action!r}")
+    return encoder(action)
+
+
+def encode_reply(number: int, actions: Iterable[tuple[int, list[WireAction]]]) -> bytes:
+    """The reply to the batch with this number: the actions of each instance, in order."""
+    records: list[bytes] = []
+    for instance, instance_actions in actions:
+        if instance_actions:
+            records.append(_CODE_AND_INSTANCE.pack(ActionCode.INSTANCE, instance))
+            records.extend(map(encode_action, instance_actions))
+    body = b"".join(records)
+    length = len(body) + REPLY_HEADER.size - REPLY_LENGTH_FIELD_END
+    return REPLY_HEADER.pack(length, len(records), number) + body
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -41,20 +41,20 @@
     UpdateKind,
 )
 from gateway.settings_parser import SettingsError, parse_settings
-from gateway.simulator import adapter, codec
+from gateway.simulator import adapter, codec, wire
 from tests.support.policy import text
 
 CLOCK = struct.unpack("<d", bytes.fromhex("508d976e12d32040"))[0]
 
 
-def batch(hexed: str) -> codec.Batch:
+def batch(hexed: str) -> wire.Batch:
     data = bytes.fromhex(hexed)
-    return codec.decode_batch(data[: codec.HEADER.size], data[codec.HEADER.size :])
+    return codec.decode_batch(data[: codec.BATCH_HEADER.size], data[codec.BATCH_HEADER.size :])
 
 
-def one(record: str) -> Event | codec.Configure | codec.Crash:
+def one(record: str) -> Event | wire.Configure | wire.Crash:
     body = bytes.fromhex("0c03000000" + record)
-    head = codec.HEADER.pack(2, len(body) + 12, 1.0, 1)
+    head = codec.BATCH_HEADER.pack(2, len(body) + 12, 1.0, 1)
     (found,) = codec.decode_batch(head, body).records
     assert found[0] == 3
     return found[1]
@@ -86,7 +86,7 @@
 
 
 def test_published_reply() -> None:
-    sent: list[Action | codec.Fault] = [
+    sent: list[Action | wire.Fault] = [
         StartAttempt(0x893B25D3A91C4, 0x03124A07, 0.08),
         SetTimer(struct.unpack("<d", bytes.fromhex("508d976e12d32140"))[0], 77),
         Log("two servers unknown"),
@@ -108,7 +108,7 @@
         ("06192b6f0ea8d80100", ClientDisconnected(0x1D8A80E6F2B19)),
         ("074d00000000000000", TimerFired(77)),
         ("09020004006869 2037", PeerMessage(2, b"hi 7")),
-        ("0a", codec.Crash()),
+        ("0a", wire.Crash()),
     ],
 )
 def test_published_records(record: str, event: object) -> None:
@@ -149,10 +149,10 @@
         ),
         (WatchEndpoints(True), "0b01"),
         (FetchEndpoints(), "0c"),
-        (codec.Fault("index out of range"), "0a1200696e646578206f7574206f662072616e6765"),
+        (wire.Fault("index out of range"), "0a1200696e646578206f7574206f662072616e6765"),
     ],
 )
-def test_actions(action: Action | codec.Fault, hexed: str) -> None:
+def test_actions(action: Action | wire.Fault, hexed: str) -> None:
     assert codec.encode_action(action) == bytes.fromhex(hexed)
 
 
@@ -178,7 +178,7 @@
 
 def test_end_of_input_is_clean_and_inside_a_frame_is_not() -> None:
     assert adapter.read_batch(io.BytesIO(b"")) is None
-    with pytest.raises(codec.WireError, match="header"):
+    with pytest.raises(wire.WireError, match="header"):
         adapter.read_batch(io.BytesIO(b"\0" * 7))
 
 
@@ -203,5 +203,5 @@
 
 
 def test_a_failing_module_is_reported_as_fault() -> None:
-    reply = adapter.answer({}, codec.Batch(1.0, 9, [(3, codec.Configure(1, "me=0"))]))
+    reply = adapter.answer({}, wire.Batch(1.0, 9, [(3, wire.Configure(1, "me=0"))]))
     assert b"SettingsError: missing setting" in reply and reply[17] == 10
