--- /dev/null
+++ b/tests/process/test_endpoint_connections.py
@@ -0,0 +1,108 @@
+"""Connections to endpoints: reuse, idle ones, restarts, the limit, load reports and probes."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+from gateway.policy.actions import Action, Probe, Reject, StartAttempt
+from gateway.policy.events import (
+    AttemptFinished,
+    EndpointRecord,
+    EndpointState,
+    EndpointUpdate,
+    Outcome,
+    ProbeFinished,
+    Request,
+    UpdateKind,
+)
+from tests.support.sockets import FIRST, FakeEndpoint, HttpClient, http_response, send_on, until
+
+from .harness import async_test, gateway_with_client
+
+
+@async_test
+async def test_connections_are_reused_and_connection_close_is_honoured() -> None:
+    responses = [http_response(), http_response(Connection="close"), http_response()]
+    endpoint = FakeEndpoint(lambda _: responses[len(endpoint.seen) - 1])
+    async with gateway_with_client(endpoint) as gateway:
+        for opened in (1, 1, 2):
+            assert (await gateway.client.ask()).status == 200
+            assert endpoint.opened == opened
+
+
+@async_test
+async def test_idle_connections_are_closed_before_the_endpoint_closes_them() -> None:
+    endpoint = FakeEndpoint()
+    async with gateway_with_client(endpoint) as gateway:
+        assert (await gateway.client.ask()).status == 200
+        assert endpoint.open == 1
+        upstream = gateway.process.driver.upstream
+        pool = upstream.pools[FIRST]
+        pool.idle[0].idle_since -= 16.0  # the endpoints' idle time is 30 s
+        upstream.timer.cancel()
+        upstream.close_expired_connections()
+        await until(lambda: endpoint.open == 0)
+        assert not pool.links
+        assert upstream.open_connections == 0
+
+
+@async_test
+async def test_restarted_endpoint_gets_new_connections() -> None:
+    endpoint = FakeEndpoint()
+    async with gateway_with_client(endpoint) as gateway:
+        assert (await gateway.client.ask()).status == 200
+        driver = gateway.process.driver
+        (address,) = [pool.address for pool in driver.upstream.pools.values()]
+        restarted = EndpointRecord(FIRST, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
+        driver.apply_endpoint_update(EndpointUpdate(UpdateKind.DELTA, 42, (restarted,)), {FIRST: address})
+        await until(lambda: endpoint.open == 0)
+        assert (await gateway.client.ask()).status == 200
+        assert endpoint.opened == 2
+
+
+@async_test
+async def test_connections_are_bounded_and_idle_ones_make_room() -> None:
+    def react(event: Any) -> list[Action]:
+        if isinstance(event, Request):
+            return [StartAttempt(event.request_id, event.class_index + 1, 0.0)]
+        return send_on(event)
+
+    responsive, silent = FakeEndpoint(), FakeEndpoint(lambda _: None)
+    async with (
+        gateway_with_client(responsive, silent, silent, react=react) as gateway,
+        HttpClient(gateway.process.listener) as other,
+    ):
+        gateway.process.driver.upstream.max_connections = 1
+        assert (await gateway.client.ask(0)).status == 200
+        gateway.client.writer.write(gateway.client.request(1))  # the idle connection to the first makes room
+        await until(lambda: silent.seen)
+        await until(lambda: responsive.open == 0)
+        assert (await other.ask(2)).status == 502  # no connection may be opened: it never ran
+        assert gateway.policy.outcomes() == [Outcome.OK, Outcome.OVERLOADED]
+
+
+@async_test
+async def test_load_report_has_the_columns_of_the_settings_in_their_order() -> None:
+    headers = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
+    endpoint = FakeEndpoint(lambda _: http_response(Server_Load=headers[len(endpoint.seen) - 1]))
+    async with gateway_with_client(endpoint) as gateway:
+        for _ in headers:
+            assert (await gateway.client.ask()).status == 200
+        reports = [event.load_report for event in gateway.policy.of(AttemptFinished)]
+        assert reports == [(180.5, 0.61, 2.0), (), (), ()]
+
+
+@async_test
+async def test_probe_brings_the_load_report() -> None:
+    def react(event: Any) -> list[Action]:
+        return [Probe(FIRST), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
+
+    endpoint = FakeEndpoint(lambda _: http_response(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
+    async with gateway_with_client(endpoint, react=react) as gateway:
+        assert (await gateway.client.ask()).status == 503
+        await until(lambda: gateway.policy.of(ProbeFinished))
+        (probed,) = gateway.policy.of(ProbeFinished)
+        assert (probed.endpoint_id, probed.outcome) == (FIRST, Outcome.OK)
+        assert probed.load_report == (9.0, 0.5, 1.0)
+        assert endpoint.seen[0].start == "GET /-/load HTTP/1.1"
--- /dev/null
+++ b/tests/process/test_policy_driver.py
@@ -0,0 +1,75 @@
+"""The policy driver: errors of the policy, timers, and actions that the process does not support."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from gateway.policy.actions import Action, FetchEndpoints, Log, Reject, SetTimer, WatchEndpoints
+from gateway.policy.events import AttemptFinished, Outcome, Request, TimerFired
+from tests.support.sockets import FakeEndpoint, http_response, run, send_on, until
+
+from .harness import UNREACHABLE, async_test, gateway_with_client
+
+
+def test_error_in_the_policy_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
+    async def send_requests() -> None:
+        def react(event: Any) -> list[Action]:
+            if isinstance(event, Request) and event.class_index == 0:
+                raise RuntimeError("a bug")
+            if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
+                raise RuntimeError("another")
+            return send_on(event)
+
+        endpoint = FakeEndpoint(lambda _: http_response(500 if len(endpoint.seen) == 1 else 200))
+        async with gateway_with_client(endpoint, react=react) as gateway:
+            assert (await gateway.client.ask(0)).status == 503  # it never ran
+            assert (await gateway.client.ask(2)).status == 502  # it may have run
+            assert (await gateway.client.ask(2)).status == 200
+            assert not gateway.process.driver.open_requests
+
+    run(send_requests())
+    assert "the policy failed on Request" in caplog.text
+    assert "the policy failed on AttemptFinished" in caplog.text
+
+
+@async_test
+async def test_timers_never_fire_early() -> None:
+    """The policy forgets a timer that fires early, and would do nothing until its next event."""
+    due: dict[int, float] = {}
+    fired: list[tuple[int, float]] = []
+
+    def react(event: Any) -> list[Action]:
+        driver = gateway.process.driver
+        if isinstance(event, Request):
+            due.update({token: driver.now + token * 0.0017 for token in range(40)})
+            return [SetTimer(at, token) for token, at in due.items()]
+        if isinstance(event, TimerFired):
+            fired.append((event.token, driver.now))
+        return []
+
+    async with gateway_with_client(UNREACHABLE, react=react) as gateway:
+        gateway.client.writer.write(gateway.client.request())
+        await until(lambda: len(fired) == 40)
+        assert all(at >= due[token] for token, at in fired)
+
+
+def test_unsupported_actions_are_logged_once_a_type(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level("INFO")
+
+    async def send_request() -> None:
+        def react(event: Any) -> list[Action]:
+            if not isinstance(event, Request):
+                return []
+            unsupported: list[Action] = [WatchEndpoints(True), FetchEndpoints(), WatchEndpoints(False)]
+            return [*unsupported, Log("two endpoints unknown"), Reject(event.request_id, 0.0)]
+
+        async with gateway_with_client(UNREACHABLE, react=react) as gateway:
+            for _ in range(2):
+                assert (await gateway.client.ask()).status == 503
+
+    run(send_request())
+    assert caplog.text.count("unsupported action: WatchEndpoints") == 1
+    assert caplog.text.count("unsupported action: FetchEndpoints") == 1
+    assert caplog.text.count("policy: two endpoints unknown") == 2
--- /dev/null
+++ b/tests/process/test_requests.py
@@ -0,0 +1,106 @@
+"""Requests from a client through the gateway: what is forwarded, what the policy hears, what is rejected."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from gateway.frontend.listener import MOST_BODY, MOST_HEAD
+from gateway.policy.actions import Action, Reject
+from gateway.policy.events import Request
+from tests.support.sockets import FakeEndpoint, http_response, run
+
+from .harness import UNREACHABLE, async_test, gateway_with_client
+
+
+@async_test
+async def test_request_is_forwarded_with_headers_and_body_unchanged() -> None:
+    endpoint = FakeEndpoint(lambda message: http_response(body=b"got " + message.body))
+    async with gateway_with_client(endpoint, react=None) as gateway:
+        ready = await gateway.client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert ready.status == 200
+        response = await gateway.client.ask(1, body=b"a recording", Request_Id="9b1f03aa5c7e2d41")
+        assert (response.status, response.body) == (200, b"got a recording")
+        (forwarded,) = endpoint.seen
+        assert forwarded.start == "POST /class-1?customer=0000000000000005 HTTP/1.1"
+        assert forwarded.headers["request-id"] == "9b1f03aa5c7e2d41"
+        assert forwarded.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+        assert forwarded.body == b"a recording"
+        # The time that the gateway will wait, which is less than the client will.
+        assert 3000 < int(forwarded.headers["request-timeout"].removesuffix("m")) < 4000
+
+
+@async_test
+async def test_policy_hears_the_metadata_of_a_request() -> None:
+    def react(event: Any) -> list[Action]:
+        return [Reject(event.request_id, 0.25)] if isinstance(event, Request) else []
+
+    async with gateway_with_client(UNREACHABLE, react=react) as gateway:
+        response = await gateway.client.ask(
+            2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
+        )
+        # A rejection is sent at once, with the time after which to retry.
+        assert (response.status, response.headers["retry-after"]) == (503, "0.250")
+        (event,) = gateway.policy.of(Request)
+        assert (event.class_index, event.plan_index, event.customer) == (2, 1, 5)
+        assert (event.units, event.gateway_set_size, event.first_gateway) == (2.0, 2, 1)
+        assert event.is_retry is True
+        assert 0.8 < event.time_remaining <= 0.9
+
+
+@pytest.mark.parametrize(
+    ("class_index", "header", "value", "status"),
+    [
+        (0, "Request-Id", "", 400),
+        (0, "Request-Class", "class-1", 400),
+        (0, "X-Tier", "gold", 400),
+        (0, "Request-Timeout", "4", 400),
+        (0, "X-Call-Terms", "units=none,spread=1,first=0", 400),
+        (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
+        (1, "Idempotency-Key", "", 400),  # its class needs a key to drop a repeat by
+        (2, "Idempotency-Key", "5c0f", 400),
+        (0, "X-Pad", "x" * MOST_HEAD, 400),
+        (2, "Content-Length", str(MOST_BODY + 1), 413),
+        (2, "Content-Length", "x", 400),
+    ],
+)
+@async_test
+async def test_malformed_request_reaches_neither_policy_nor_endpoint(
+    class_index: int, header: str, value: str, status: int
+) -> None:
+    endpoint = FakeEndpoint()
+    async with gateway_with_client(endpoint) as gateway:
+        malformed = gateway.client.request(class_index, 4000, b"", **{header: value})
+        assert (await gateway.client.send(malformed)).status == status
+        assert not gateway.policy.events
+        assert not endpoint.opened
+
+
+@async_test
+async def test_bytes_that_are_no_request_are_rejected_and_end_the_connection() -> None:
+    async with gateway_with_client(UNREACHABLE) as gateway:
+        assert (await gateway.client.send(b"\x00\x01 nonsense\r\n\r\n")).status == 400
+        assert await gateway.client.reader.read() == b""
+        assert not gateway.policy.events
+
+
+@pytest.mark.parametrize("target", [b"http://[::", b"/\xff?customer=0000000000000005", b"*"])
+def test_malformed_target_is_rejected_and_not_logged(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
+    async def send_target() -> None:
+        async with gateway_with_client(UNREACHABLE) as gateway:
+            response = await gateway.client.send(b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert response.status in (400, 404)
+            assert not gateway.policy.events
+
+    run(send_target())
+    assert not caplog.records
+
+
+@async_test
+async def test_trailer_does_not_stand_in_for_a_header() -> None:
+    async with gateway_with_client(UNREACHABLE) as gateway:
+        head = gateway.client.request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
+        response = await gateway.client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
+        assert response.status == 400
+        assert not gateway.policy.events
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -1,4 +1,4 @@
-"""The program itself: a start, readiness and SIGTERM."""
+"""The start of the program: readiness, its time, SIGTERM, and configurations that cannot be served."""
 
 from __future__ import annotations
 
@@ -6,17 +6,14 @@
 import contextlib
 import json
 import os
-import resource
 import signal
-import socket
+import subprocess
 import sys
 import time
-from collections.abc import AsyncIterator
 from pathlib import Path
 
 import pytest
 
-from gateway.counter.client import LINES
 from tests.support.sockets import (
     FakeCounter,
     FakeDiscoveryAgent,
@@ -25,134 +22,79 @@
     host_line,
     http_response,
     listening,
-    read_message,
-    run,
-    until,
 )
 
+from .harness import async_test, config_without
+from .program import free_port, readiness_status, running_program
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port: int = probe.getsockname()[1]
-        return port
+START_COUNT = 20
+MAX_START_SECONDS = 10.0  # in which nine in ten starts have to be ready
 
 
-@contextlib.asynccontextmanager
-async def running(
-    path: Path, sockets: int | None = None
-) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """The program, once it listens, and its port; `sockets` limits its descriptors."""
-    port = free_port()
-    env = dict(os.environ) | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}"}
-    process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "gateway", env=env, stderr=asyncio.subprocess.PIPE
-    )
-    if sockets is not None:
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-    try:
-        while process.returncode is None:
-            try:
-                _, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.close()
-                break
-            except OSError:
-                await asyncio.sleep(0.01)
-        yield process, port
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-
-
-async def ready(port: int) -> int:
-    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    status = (await read_message(reader)).status
-    writer.close()
-    return status
-
-
-def test_it_starts_becomes_ready_and_ends_on_sigterm(tmp_path: Path) -> None:
-    async def test() -> None:
-        backend, agent = FakeEndpoint(lambda message: http_response()), FakeDiscoveryAgent()
-        async with listening(backend.handle) as dial, listening(agent.handle) as discovery:
-            host = host_line("s-00000001", dial)
-            agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
-            path = tmp_path / "config.json"
-            path.write_text(config_text([host], discovery=discovery))
-            async with running(path) as (process, port):
-                assert await ready(port) == 200
-                process.send_signal(signal.SIGTERM)
-                assert await process.wait() == 0
-                assert process.stderr is not None and await process.stderr.read() == b""
-
-    run(test())
-
-
-# Guards against a front door that ends on SIGHUP, that stays with the old addresses, and that a bad file
-# ends or leaves without any.
-def test_sighup_moves_discovery_and_counter_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async def test() -> None:
-        agents, tallies = [FakeDiscoveryAgent(), FakeDiscoveryAgent()], [FakeCounter(), FakeCounter()]
-        backend = FakeEndpoint(lambda message: http_response())
-        async with contextlib.AsyncExitStack() as stack:
-            host = host_line("s-00000001", await stack.enter_async_context(listening(backend.handle)))
-            discovery = [await stack.enter_async_context(listening(a.handle)) for a in agents]
-            counter = [await stack.enter_async_context(listening(t.handle)) for t in tallies]
-            for agent in agents:
-                agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
-            path = tmp_path / "config.json"
-            path.write_text(config_text([host], counter[0], discovery[0]))
-            process, port = await stack.enter_async_context(running(path))
-            await until(lambda: agents[0].open and tallies[0].opened == LINES)
-            path.write_text("{")
-            process.send_signal(signal.SIGHUP)
-            assert process.stderr is not None
-            assert b"configuration unchanged" in await process.stderr.readline()
-            assert agents[0].open and await ready(port) == 200
-            path.write_text(config_text([host], counter[1], discovery[1]))
-            process.send_signal(signal.SIGHUP)
-            await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
-            await until(lambda: tallies[1].opened == LINES and not tallies[0].open)
-            assert await ready(port) == 200 and process.returncode is None
-            process.send_signal(signal.SIGTERM)
-            assert await process.wait() == 0
-
-    run(test())
-
-
-STARTS, READY_IN = 20, 10.0  # processes, and seconds in which nine in ten of them are ready, by the terms
-
-
-async def mute(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Takes connections and says nothing: an agent, or a counter, that is cut off."""
+async def silent_service(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    """Accepts connections and says nothing, as an agent or a counter that is cut off."""
     await reader.read()
 
 
-# Guards the term that nine in ten restarted processes are ready within 10 s, also while discovery and the
-# counter say nothing or refuse; each goes by the list that it had.
-@pytest.mark.parametrize("others", ["well", "mute", "refuse"])
-def test_nine_in_ten_starts_are_ready_in_time(others: str, tmp_path: Path) -> None:
-    async def start(path: Path) -> float:
-        began = time.monotonic()
-        async with running(path) as (_, port):
-            while await ready(port) != 200:
-                await asyncio.sleep(0.05)
-            return time.monotonic() - began
-
-    async def test() -> None:
-        agent, tally = FakeDiscoveryAgent(), FakeCounter()
-        hosts = [host_line("s-00000001", "127.0.0.1:1")]
-        agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": hosts}).encode()
-        async with contextlib.AsyncExitStack() as stack:
-            discovery = counter = f"127.0.0.1:{free_port()}"
-            if others != "refuse":
-                pair = (agent.handle, tally.handle) if others == "well" else (mute, mute)
-                discovery, counter = [await stack.enter_async_context(listening(end)) for end in pair]
-            path = tmp_path / "config.json"
-            path.write_text(config_text(hosts, counter, discovery))
-            took = sorted(await asyncio.gather(*(start(path) for _ in range(STARTS))))
-        assert took[STARTS * 9 // 10 - 1] < READY_IN, took
-
-    run(test())
+@async_test
+async def test_program_becomes_ready_and_ends_on_sigterm(tmp_path: Path) -> None:
+    endpoint, agent = FakeEndpoint(lambda _: http_response()), FakeDiscoveryAgent()
+    async with listening(endpoint.handle) as address, listening(agent.handle) as discovery:
+        host = host_line("s-00000001", address)
+        agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
+        path = tmp_path / "config.json"
+        path.write_text(config_text([host], discovery=discovery))
+        async with running_program(path) as (program, port):
+            assert await readiness_status(port) == 200
+            program.send_signal(signal.SIGTERM)
+            assert await program.wait() == 0
+            assert program.stderr is not None
+            assert await program.stderr.read() == b""
+
+
+async def measure_start(path: Path) -> float:
+    """Seconds from the start of the program until it is ready."""
+    started_at = time.monotonic()
+    async with running_program(path) as (_, port):
+        while True:
+            if await readiness_status(port) == 200:
+                return time.monotonic() - started_at
+            await asyncio.sleep(0.05)
+
+
+@pytest.mark.parametrize("services", ["available", "silent", "refusing"])
+@async_test
+async def test_nine_in_ten_starts_are_ready_in_time(services: str, tmp_path: Path) -> None:
+    """Without discovery and the counter a gateway starts with the endpoint list that it had."""
+    agent, counter = FakeDiscoveryAgent(), FakeCounter()
+    hosts = [host_line("s-00000001", "127.0.0.1:1")]
+    agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": hosts}).encode()
+    async with contextlib.AsyncExitStack() as stack:
+        if services == "refusing":
+            discovery_address = counter_address = f"127.0.0.1:{free_port()}"
+        else:
+            silent = services == "silent"
+            handlers = (silent_service, silent_service) if silent else (agent.handle, counter.handle)
+            discovery_address, counter_address = [
+                await stack.enter_async_context(listening(handler)) for handler in handlers
+            ]
+        path = tmp_path / "config.json"
+        path.write_text(config_text(hosts, counter_address, discovery_address))
+        start_times = sorted(await asyncio.gather(*(measure_start(path) for _ in range(START_COUNT))))
+    assert start_times[START_COUNT * 9 // 10 - 1] < MAX_START_SECONDS, start_times
+
+
+@pytest.mark.parametrize("content", [None, "{", config_without("listen"), '{"settings": {}}'])
+def test_unusable_configuration_ends_the_start_with_one_line(content: str | None, tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    if content is not None:
+        path.write_text(content)
+    env = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
+    env |= {"NODE_CONFIG": str(path)}
+    done = subprocess.run(
+        [sys.executable, "-m", "gateway"], env=env, capture_output=True, text=True, timeout=20, check=False
+    )
+    assert done.returncode == 2
+    assert not done.stdout
+    assert done.stderr.startswith("gateway: ")
+    assert done.stderr.count("\n") == 1
