--- /dev/null
+++ b/tests/process/test_config.py
@@ -0,0 +1,107 @@
+"""The process configuration: typed values, precedence of the environment, errors, and resource limits."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.address import AddressError
+from gateway.config import (
+    RESERVED_SOCKETS,
+    Address,
+    ConfigError,
+    InvalidValueError,
+    MissingKeyError,
+    ResourceLimits,
+    parse,
+    parse_address,
+)
+from gateway.settings_parser import parse_settings
+from tests.support.policy import text
+from tests.support.sockets import config_text
+
+from .harness import config_without
+
+
+def test_nested_settings_read_as_the_simulators_do() -> None:
+    config = parse(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
+    expected = parse_settings(text(report__columns="latency_ms,util"))
+    assert config.settings == expected
+    assert (config.machine_types, config.endpoint_idle_timeout, config.seed) == (("m2",), 30.0, 0x8C1F)
+    assert config.counter == Address("127.0.0.1", 6400)
+
+
+def test_environment_takes_precedence() -> None:
+    config = parse(config_text([]), {"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.7:9"})
+    assert (config.name, config.listen) == ("n7", Address("127.0.0.7", 9))
+
+
+def test_file_takes_precedence_for_discovery_when_it_is_read_again() -> None:
+    """The variable says where the agent was at the start: a gateway must not stay with the old agent."""
+    env = {"NODE_DISCOVERY": "127.0.0.1:7"}
+    assert parse(config_text([], discovery="127.0.0.1:8"), env).discovery == Address("127.0.0.1", 7)
+    assert parse(config_text([], discovery="127.0.0.1:8"), env, again=True).discovery.port == 8
+    assert parse(config_without("discovery"), env, again=True).discovery.port == 7
+
+
+@pytest.mark.parametrize(
+    "malformed",
+    [
+        "{", "[]", "{}", config_without("listen"), config_without("settings"), config_without("limits"),
+        config_without("seed"), config_text([], rules__warm_up_s="soon"),
+        config_text([], discovery="nowhere"),
+        config_text([]).replace('"sockets": 1024', '"sockets": 10'),
+    ],
+)  # fmt: skip
+def test_malformed_configuration_is_rejected(malformed: str) -> None:
+    with pytest.raises(ConfigError):
+        parse(malformed, {})
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "key", "value"),
+    [
+        ('"seed": "8c1f"', '"seed": "x"', "seed", "'x'"),
+        ('"discovery": "127.0.0.1:1"', '"discovery": "nowhere"', "discovery", "'nowhere'"),
+        ('"sockets": 1024', '"sockets": 10', "limits.sockets", "10"),
+        ('"memory_mb": 192', '"memory_mb": 8', "limits.memory_mb", "8"),
+        ('"conn_idle_s": "30.0"', '"conn_idle_s": "soon"', "settings.caps.conn_idle_s", "'soon'"),
+        ('"known": {', '"known": [1], "other": {', "known", "list"),
+    ],
+)
+def test_error_names_key_and_value_in_one_line(old: str, new: str, key: str, value: str) -> None:
+    config = config_text([])
+    assert old in config
+    with pytest.raises(InvalidValueError) as raised:
+        parse(config.replace(old, new), {})
+    assert raised.value.key == key
+    assert value in raised.value.problem
+    assert str(raised.value).startswith(f"{key}: ")
+    assert "\n" not in str(raised.value)
+
+
+def test_error_names_the_missing_key() -> None:
+    with pytest.raises(MissingKeyError, match="missing 'listen'") as raised:
+        parse(config_without("listen"), {})
+    assert raised.value.key == "listen"
+
+
+def test_settings_with_a_counter_need_its_address() -> None:
+    config = config_text([], "127.0.0.1:6400").replace('"counter": "127.0.0.1:6400"', '"counter": ""')
+    with pytest.raises(InvalidValueError, match="counter: "):
+        parse(config, {})
+
+
+@pytest.mark.parametrize("value", ["", "host", ":80", "host:", "host:x", "host:-1", "host:65536", None])
+def test_malformed_address_is_rejected(value: str | None) -> None:
+    with pytest.raises(AddressError) as raised:
+        parse_address(value)
+    assert raised.value.value == value
+
+
+@pytest.mark.parametrize(("sockets", "memory_mb"), [(256, 32), (1024, 192)])
+def test_resource_limits_leave_enough_of_a_small_machine(sockets: int, memory_mb: int) -> None:
+    """Clients hold a third of the descriptors for requests, each of which may need an upstream connection."""
+    limits = ResourceLimits.of(sockets, memory_mb)
+    assert min(limits.max_clients, limits.max_upstream) > sockets / 3
+    assert limits.max_clients + limits.surplus_clients + limits.max_upstream + RESERVED_SOCKETS <= sockets
+    assert limits.max_buffered_bytes <= memory_mb * (1 << 20) / 8
--- /dev/null
+++ b/tests/process/test_settings_parser.py
@@ -0,0 +1,35 @@
+"""The settings parser: what malformed and missing settings do."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.settings_parser import SettingsError, parse_settings
+from tests.support.policy import text
+
+
+@pytest.mark.parametrize(
+    ("changes", "key", "value"),
+    [
+        ({"me": "x"}, "me", "x"),
+        ({"me": "1.5"}, "me", "1.5"),
+        ({"caps__second_copies": "perhaps"}, "caps.second_copies", "perhaps"),
+        ({"classes__1__effect": "odd"}, "classes.1.effect", "odd"),
+        ({"classes__1__dedup_scope": "moon"}, "classes.1.dedup_scope", "moon"),
+        ({"tariffs__0__quota_rate": "nan"}, "tariffs.0.quota_rate", "nan"),
+    ],
+)
+def test_malformed_settings_name_the_key(changes: dict[str, str], key: str, value: str) -> None:
+    with pytest.raises(SettingsError, match=key) as raised:
+        parse_settings(text(**changes))
+    assert (raised.value.key, raised.value.value) == (key, value)
+
+
+def test_missing_settings_name_the_key() -> None:
+    with pytest.raises(SettingsError, match=r"rules\.fall_s") as raised:
+        parse_settings(text().replace("rules.fall_s", "rules.other"))
+    assert (raised.value.key, raised.value.value) == ("rules.fall_s", None)
+
+
+def test_unknown_settings_are_skipped() -> None:
+    assert parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].max_concurrency == 2
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the simulator codec and its adapter."""
