--- a/gateway/open_request.py
+++ b/gateway/open_request.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from gateway.policy.events import Outcome
+from gateway.policy.settings import Limits
 from gateway.upstream.client import Attempt
 
 
@@ -53,3 +55,26 @@
     attempts_started: int = 0
     may_have_run: bool = False
     answered: bool = False
+
+    def may_start_attempt(self, number: int, limits: Limits) -> bool:
+        """Whether attempt ``number`` is within the deployment's limits, whatever the policy decides."""
+        if self.answered or number >= limits.max_attempts:
+            return False
+        return limits.may_hedge or not self.attempts
+
+    def respond(self, response: Response) -> None:
+        """Close the request with a response."""
+        self.close()
+        self.on_response(response)
+
+    def close(self) -> None:
+        """Close the request: nobody waits for a response any more."""
+        self.answered = True
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
+
+    def cancel_unwritten_attempts(self) -> None:
+        """Cancel the attempts that are not completely written, as the request is closed: they never ran."""
+        for attempt in list(self.attempts.values()):
+            if attempt.connection is None or attempt.connection.has_unsent_bytes:
+                attempt.abandon(Outcome.CANCELLED)
--- a/gateway/policy_driver.py
+++ b/gateway/policy_driver.py
@@ -60,7 +60,6 @@
         upstream: Executes attempts and probes.
         counter: Executes counter calls; None without a shared counter.
         open_requests: The requests that are not released, by request id.
-        unanswered: How many of them are not closed.
         now: The time of the latest event.
     """
 
@@ -69,7 +68,6 @@
         self.upstream = upstream
         self.counter: CounterClient | None = None
         self.open_requests: dict[int, OpenRequest] = {}
-        self.unanswered = 0
         self.last_request_id = 0
         self.now = 0.0
         self._limits = policy.settings.limits
@@ -78,6 +76,11 @@
         self._is_processing = False
         self._unsupported_actions: set[str] = set()  # type names that have been logged
 
+    @property
+    def unanswered(self) -> int:
+        """How many open requests are not closed yet."""
+        return sum(not request.answered for request in self.open_requests.values())
+
     # --- events ------------------------------------------------------------------------------------
 
     def current_time(self) -> float:
@@ -123,7 +126,6 @@
         self.last_request_id += 1
         request = OpenRequest(self.last_request_id, encode_for_endpoint, on_response, on_released, deadline)
         self.open_requests[request.request_id] = request
-        self.unanswered += 1
         time_remaining = deadline - RESPONSE_MARGIN_SECONDS - time.monotonic()
         request.deadline_timer = self._loop.call_later(
             max(0.0, time_remaining), self._handle_deadline, request
@@ -135,9 +137,9 @@
         """Close a request without a response: attempts on the wire run on, unwritten ones are cancelled."""
         if request.answered:
             return
-        self._close(request)
+        request.close()
         self.deliver(ClientDisconnected(request.request_id))
-        self._cancel_unwritten_attempts(request)
+        request.cancel_unwritten_attempts()
         self._release_if_done(request)
 
     def answer_open_requests(self) -> None:
@@ -190,7 +192,7 @@
             attempt.abandon(Outcome.TIMEOUT)
         if request.answered:  # an attempt that never ran ends at once, and the policy may have responded
             return
-        self._respond(request, Response(HTTPStatus.GATEWAY_TIMEOUT))
+        request.respond(Response(HTTPStatus.GATEWAY_TIMEOUT))
         self.deliver(ClientDisconnected(request.request_id))
         self._release_if_done(request)
 
@@ -201,7 +203,7 @@
         if not result.outcome.never_ran:
             request.may_have_run = True
         if result.outcome is Outcome.OK and not request.answered:
-            self._respond(request, Response(HTTPStatus.OK, result.body, result.content_type))
+            request.respond(Response(HTTPStatus.OK, result.body, result.content_type))
         was_closed = request.answered
         self.deliver(
             AttemptFinished(
@@ -217,7 +219,7 @@
             )
         )
         if was_closed:
-            self._cancel_unwritten_attempts(request)
+            request.cancel_unwritten_attempts()
         self._release_if_done(request)
 
     # --- actions -----------------------------------------------------------------------------------
@@ -262,7 +264,7 @@
         number = request.attempts_started
         request.attempts_started += 1
         time_remaining = request.deadline - ATTEMPT_MARGIN_SECONDS - time.monotonic()
-        if time_remaining <= 0 or not self._may_start_attempt(request, number):
+        if time_remaining <= 0 or not request.may_start_attempt(number, self._limits):
             self._report_not_started(action, number, request.answered)
             return
         timeout = min(time_remaining, action.timeout) if action.timeout > 0 else time_remaining
@@ -276,12 +278,6 @@
         if not attempt.is_finished:
             request.attempts[number] = attempt
 
-    def _may_start_attempt(self, request: OpenRequest, number: int) -> bool:
-        """Whether the rules of the deployment allow a further attempt, whatever the policy decides."""
-        if request.answered or number >= self._limits.max_attempts:
-            return False
-        return self._limits.may_hedge or not request.attempts
-
     def _report_not_started(self, action: StartAttempt, number: int, request_closed: bool) -> None:
         """Tell the policy, after its present actions, that an attempt was not started."""
         self._events.append(
@@ -340,8 +336,8 @@
         request = self.open_requests.get(request_id)
         if request is None or request.answered:
             return
-        self._respond(request, response)
-        self._cancel_unwritten_attempts(request)
+        request.respond(response)
+        request.cancel_unwritten_attempts()
         self._release_if_done(request)
 
     def _respond_after_error(self, request_id: int) -> None:
@@ -353,26 +349,10 @@
         if request is None or request.answered or request.attempts:
             return
         status = HTTPStatus.BAD_GATEWAY if request.may_have_run else HTTPStatus.SERVICE_UNAVAILABLE
-        self._respond(request, Response(status))
+        request.respond(Response(status))
         self._events.append(ClientDisconnected(request_id))
         self._release_if_done(request)
 
-    def _respond(self, request: OpenRequest, response: Response) -> None:
-        self._close(request)
-        request.on_response(response)
-
-    def _close(self, request: OpenRequest) -> None:
-        request.answered = True
-        self.unanswered -= 1
-        if request.deadline_timer is not None:
-            request.deadline_timer.cancel()
-
-    def _cancel_unwritten_attempts(self, request: OpenRequest) -> None:
-        """Cancel the attempts of a closed request that are not completely written: they never ran."""
-        for attempt in list(request.attempts.values()):
-            if attempt.connection is None or attempt.connection.has_unsent_bytes:
-                attempt.abandon(Outcome.CANCELLED)
-
     def _release_if_done(self, request: OpenRequest) -> None:
         if not request.answered or request.attempts:
             return
