--- a/gateway/simulator/codec.py
+++ b/gateway/simulator/codec.py
@@ -339,9 +339,10 @@
     Raises:
         WireError: The wire has no record for it.
     """
-    encoder = _ENCODERS.get(type(action))
-    if encoder is None:
-        raise WireError(f"not an action: {action!r}")
+    try:
+        encoder = _ENCODERS[type(action)]
+    except KeyError:
+        raise WireError(f"not an action: {action!r}") from None
     return encoder(action)
 
 
