--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -10,7 +10,7 @@
 from gateway.policy.settings import Effect, Settings
 
 CUSTOMERS = 1 << 33
-MOST_TERMS = 96  # bytes of X-Call-RequestMetadata; longer ones would also fill the cache
+MOST_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
 SINGLE = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
@@ -45,7 +45,7 @@
 
 @functools.lru_cache(maxsize=256)  # few distinct ones come
 def parse_call_terms(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of X-Call-RequestMetadata."""
+    """Units, spread and first of X-Call-Terms."""
     try:
         pairs = [part.split("=", 1) for part in text.decode("ascii").replace(" ", "").split(",")]
         values = {key: value for key, value in pairs}  # noqa: C416  # a part without "=" is a ValueError
@@ -123,7 +123,7 @@
             raise BadRequestError("malformed X-Call-Terms")
         units, spread, first = parse_call_terms(terms)
         if not (0 < units <= self.most_units and 0 < spread <= self.peers and first < self.peers):
-            raise BadRequestError("X-Call-RequestMetadata out of range")
+            raise BadRequestError("X-Call-Terms out of range")
         customer = parse_customer(found[2] or b"")
         is_retry = headers.get(b"client-retry") == b"1"
         return RequestMetadata(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
--- /dev/null
+++ b/tests/frontend/test_request_metadata.py
@@ -0,0 +1,82 @@
+"""What a request's headers and target have to be, and the exact text that answers one which is not so."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.frontend.request_metadata import BadRequestError, RequestMetadata, RequestMetadataParser
+from tests.support.sockets import config
+
+TARGET = b"/class-0?customer=0000000000000005"
+HEADERS = {
+    b"host": b"origin.svc",
+    b"request-id": b"one",
+    b"request-class": b"class-0",
+    b"x-tier": b"plan-1",
+    b"request-timeout": b"1500m",
+    b"x-call-terms": b"units=1.5,spread=3,first=2",
+}
+
+
+@pytest.fixture
+def parser() -> RequestMetadataParser:
+    return RequestMetadataParser(config([]).settings, 2.0)
+
+
+def test_metadata_of_a_valid_request(parser: RequestMetadataParser) -> None:
+    found = parser.parse(b"GET", TARGET, list(HEADERS.items()))
+    assert found == RequestMetadata(b"one", 0, 1, 5, 1.5, 1.5, 3, 2, False)
+
+
+def test_a_client_retry_is_marked_as_one(parser: RequestMetadataParser) -> None:
+    assert parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"client-retry", b"1")]).is_retry
+
+
+def test_the_timeout_is_at_most_the_deadline_of_the_class(parser: RequestMetadataParser) -> None:
+    headers = HEADERS | {b"request-timeout": b"60000m"}
+    assert parser.parse(b"GET", TARGET, list(headers.items())).timeout == 4.0
+
+
+# Guards the texts that clients get.
+@pytest.mark.parametrize(
+    ("header", "value", "text"),
+    [
+        (b"x-call-terms", b"units=3,spread=3,first=0", "X-Call-Terms out of range"),
+        (b"x-call-terms", b"units=1,spread=4,first=0", "X-Call-Terms out of range"),
+        (b"x-call-terms", b"units=1", "malformed X-Call-Terms"),
+        (b"request-timeout", b"4", "malformed Request-Timeout"),
+        (b"request-class", b"class-1", "Request-Class is not the path's"),
+        (b"x-tier", b"gold", "no such X-Tier"),
+        (b"request-id", b"", "malformed Request-Id"),
+        (b"idempotency-key", b"not a key", "the method or Idempotency-Key is not that of the class"),
+    ],
+)
+def test_the_text_of_an_error_names_the_header(
+    parser: RequestMetadataParser, header: bytes, value: bytes, text: str
+) -> None:
+    headers = HEADERS | {header: value}
+    with pytest.raises(BadRequestError) as error:
+        parser.parse(b"GET", TARGET, list(headers.items()))
+    assert str(error.value) == text
+
+
+@pytest.mark.parametrize(
+    ("target", "text"),
+    [
+        (b"/class-0?customer=5", "malformed customer"),
+        (b"/class-0?customer=0000000000000005#", "malformed target"),
+        (b"/class-9?customer=0000000000000005", "no such class"),
+    ],
+)
+def test_the_text_of_an_error_names_the_part_of_the_target(
+    parser: RequestMetadataParser, target: bytes, text: str
+) -> None:
+    with pytest.raises(BadRequestError) as error:
+        parser.parse(b"GET", target, list(HEADERS.items()))
+    assert str(error.value) == text
+
+
+def test_a_repeated_header_that_counts_is_rejected(parser: RequestMetadataParser) -> None:
+    with pytest.raises(BadRequestError) as error:
+        parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"x-tier", b"plan-0")])
+    assert str(error.value) == "a header stands twice"
