--- a/gateway/policy_driver.py
+++ b/gateway/policy_driver.py
@@ -38,7 +38,8 @@
     TimerFired,
     UpdateKind,
 )
-from gateway.upstream.client import Attempt, AttemptResult, UpstreamClient
+from gateway.upstream.attempt import Attempt, AttemptResult
+from gateway.upstream.client import UpstreamClient
 
 ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
 GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
--- a/gateway/upstream/__init__.py
+++ b/gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints and the attempts on them."""
+"""The client side: attempts on endpoints, their connections and the pools that keep these."""
--- /dev/null
+++ b/gateway/upstream/connection_pool.py
@@ -0,0 +1,178 @@
+"""The pool of connections to one endpoint."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import deque
+from collections.abc import Coroutine
+from typing import Any, Protocol
+
+from gateway.config import Address
+from gateway.policy.events import Outcome
+from gateway.upstream.attempt import Attempt
+from gateway.upstream.connection import UpstreamConnection
+from gateway.upstream.load_report import LoadReportParser
+
+REUSE_DELAY_SECONDS = 0.010  # a second copy of a response may come some milliseconds late
+
+
+class PoolOwner(Protocol):
+    """What a pool needs of the client that all pools share."""
+
+    loop: asyncio.AbstractEventLoop
+    connect_timeout: float
+    load_report_parser: LoadReportParser
+
+    def reserve_connection(self, open_in_pool: int) -> bool:
+        """Count one more connection, if there is room for it."""
+
+    def release_connection(self) -> None:
+        """Count one connection less."""
+
+    def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine that is cancelled when the client is closed."""
+
+
+class EndpointPool:
+    """The connections to one endpoint, and the attempts that wait for one."""
+
+    def __init__(self, owner: PoolOwner, endpoint_id: int, address: Address, started_at: float) -> None:
+        self.owner = owner
+        self.endpoint_id, self.address, self.started_at = endpoint_id, address, started_at
+        self.load_report_parser = owner.load_report_parser
+        self.idle: deque[UpstreamConnection] = deque()  # the newest last; it is used first
+        self.connections: set[UpstreamConnection] = set()
+        self.waiting: set[Attempt] = set()  # for a connection
+        self.connecting = 0
+        self.is_removed = False
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop that all pools share."""
+        return self.owner.loop
+
+    def start(self, attempt: Attempt) -> None:
+        """Carry an attempt on an idle connection, else on a new one."""
+        while self.idle:
+            connection = self.take_idle()
+            if not connection.is_usable():
+                connection.abort()
+                continue
+            delay = connection.idle_since + REUSE_DELAY_SECONDS - time.monotonic()
+            if delay <= 0:
+                connection.carry(attempt)
+            else:
+                self.waiting.add(attempt)
+                self.loop.call_later(delay, self.reuse, connection, attempt)
+            return
+        if not self.owner.reserve_connection(self.connecting + len(self.connections)):
+            # Nothing was sent.  Not a failed connection: the endpoint is not to blame.
+            self.loop.call_soon(attempt.fail, Outcome.OVERLOADED)
+            return
+        self.connecting += 1
+        self.waiting.add(attempt)
+        self.owner.run_in_background(self.connect(attempt))
+
+    def take_idle(self) -> UpstreamConnection:
+        """Take the newest connection whose reuse delay is over, else the one that has been idle longest."""
+        latest = time.monotonic() - REUSE_DELAY_SECONDS
+        newest_first = reversed(range(len(self.idle)))
+        index = next((n for n in newest_first if self.idle[n].idle_since <= latest), 0)
+        connection = self.idle[index]
+        del self.idle[index]
+        return connection
+
+    def reuse(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Carry an attempt that has waited for the reuse delay, unless it was given up meanwhile."""
+        is_wanted = self.stop_waiting(attempt)
+        if not connection.is_usable():
+            connection.abort()
+            if is_wanted:
+                self.start(attempt)
+        elif is_wanted:
+            connection.carry(attempt)
+        else:
+            self.put_back(connection)
+
+    async def connect(self, attempt: Attempt) -> None:
+        """Open a connection for an attempt, and keep it if that was given up meanwhile."""
+        try:
+            async with asyncio.timeout(self.owner.connect_timeout):
+                _, connection = await self.loop.create_connection(
+                    lambda: UpstreamConnection(self), self.address.host, self.address.port
+                )
+        except (OSError, TimeoutError):
+            self.owner.release_connection()
+            if attempt in self.waiting:
+                attempt.fail(Outcome.CONNECT_FAILED)
+            return
+        finally:
+            self.connecting -= 1
+            is_wanted = self.stop_waiting(attempt)
+        self.connections.add(connection)
+        if not connection.is_open:
+            self.discard(connection)
+            if is_wanted:
+                attempt.fail(Outcome.CONNECT_FAILED)
+        elif is_wanted:
+            connection.carry(attempt)
+        else:
+            self.put_back(connection)
+
+    def stop_waiting(self, attempt: Attempt) -> bool:
+        """End an attempt's wait for a connection; return whether it is still to be carried."""
+        is_wanted = attempt in self.waiting and not attempt.is_finished
+        self.waiting.discard(attempt)
+        return is_wanted
+
+    def cancel_waiting(self) -> None:
+        """Fail the attempts that wait for a connection, as nothing new is to go to this endpoint.
+
+        They never ran.  They finish after this call, once the policy knows why.
+        """
+        waiting, self.waiting = self.waiting, set()
+        for attempt in waiting:
+            self.loop.call_soon(attempt.fail, Outcome.NOT_STARTED)
+
+    def put_back(self, connection: UpstreamConnection) -> None:
+        """Keep a connection for the next attempt, unless the endpoint has moved or is gone."""
+        if self.is_removed:
+            connection.abort()
+            return
+        connection.idle_since = time.monotonic()
+        self.idle.append(connection)
+
+    def discard(self, connection: UpstreamConnection) -> None:
+        """Forget a connection that has ended."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+            self.owner.release_connection()
+        if connection in self.idle:
+            self.idle.remove(connection)
+
+    def remove(self) -> None:
+        """Take no further attempts; those that were written run on."""
+        self.is_removed = True
+        self.close_idle()
+        self.cancel_waiting()
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        idle, self.idle = self.idle, deque()
+        for connection in idle:
+            connection.abort()
+
+    def close_oldest_idle(self) -> None:
+        """Close the connection that has been idle longest."""
+        self.idle.popleft().abort()
+
+    def close_idle_before(self, time_limit: float) -> None:
+        """Close the connections that have been idle since before a monotonic time."""
+        while self.idle and self.idle[0].idle_since < time_limit:
+            self.close_oldest_idle()
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connection in self.connections:
+            connection.abort()
--- a/tests/process/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -23,7 +23,7 @@
     Request,
     UpdateKind,
 )
-from gateway.upstream import client as upstream
+from gateway.upstream import connection_pool
 from tests.support.sockets import (
     FIRST,
     FakeDiscoveryAgent,
@@ -194,7 +194,7 @@
         ):
             if how == "resting":
                 assert (await client.ask(Request_Id="warm")).status == 200
-                monkeypatch.setattr(upstream, "REST", 0.3)
+                monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
             else:
                 door.driver.last_request_id = 1
                 gate = gated(door)
@@ -415,9 +415,9 @@
                 gate.open.set()
                 async with HttpClient(door.listener) as client:
                     client.writer.write(client.request(2, body=b"x" * 60_000))
-                    await until(lambda: any(link.has_unsent_bytes for link in pool.links))
+                    await until(lambda: any(link.has_unsent_bytes for link in pool.connections))
                 await until(lambda: script.outcomes() == [Outcome.NOT_STARTED])
-                assert not pool.links and not door.driver.open_requests
+                assert not pool.connections and not door.driver.open_requests
                 taken, _ = slow.accept()
                 with taken:
                     assert len(await read_all(taken)) < 60_000
--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -311,7 +311,7 @@
         ):
             waiting = asyncio.create_task(client.ask(2))
             await until(lambda: backend.seen)
-            (link,) = door.driver.upstream.pools[FIRST].links
+            (link,) = door.driver.upstream.pools[FIRST].connections
             if unsent:
                 link.pause_writing()
             link.abort()
@@ -407,7 +407,7 @@
             door.driver.upstream.timer.cancel()
             door.driver.upstream.close_expired_connections()
             await until(lambda: backend.open == 0)
-            assert not pool.links and door.driver.upstream.open_connections == 0
+            assert not pool.connections and door.driver.upstream.open_connections == 0
 
     run(test())
 
--- /dev/null
+++ b/tests/upstream/test_load_report.py
@@ -0,0 +1,60 @@
+"""Which load reports can be read, and that the others do not spoil the response that carries them."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.policy.events import AttemptFinished
+from gateway.upstream.load_report import LoadReportParser
+from tests.support.sockets import FakeEndpoint, HttpClient, Message, listening, run, running_gateway, send_on
+
+MALFORMED = [
+    "TEXT util=none", "TEXT queue=1_0, util=0.5, latency_ms=3", "=,=,", "TEXT \xff\xfe", "nan",
+]  # fmt: skip
+
+
+@pytest.fixture
+def parser() -> LoadReportParser:
+    return LoadReportParser(("latency_ms", "util", "queue"))
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"TEXT latency_ms=3.25, util=0.5, queue=4", b"queue=4,util=0.5,latency_ms=3.25",
+        b"TEXT util = 0.5 , queue= 4, other=9, latency_ms=3.25, mark",
+    ],
+    ids=range(3),
+)  # fmt: skip
+def test_a_report_gives_the_columns_in_the_order_of_the_settings(
+    parser: LoadReportParser, text: bytes
+) -> None:
+    assert parser.parse(text) == (3.25, 0.5, 4.0)
+
+
+@pytest.mark.parametrize("text", ["", "latency_ms=3, util=0.5", "latency_ms=-3, util=1, queue=4", *MALFORMED])
+def test_a_report_that_is_malformed_or_lacks_a_column_is_empty(parser: LoadReportParser, text: str) -> None:
+    assert parser.parse(text.encode("latin-1")) == ()
+
+
+@pytest.mark.parametrize("load", MALFORMED, ids=range(5))
+def test_a_malformed_report_does_not_spoil_the_response(load: str) -> None:
+    async def test() -> None:
+        def respond(_message: Message) -> bytes:
+            early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+            head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
+            return early + head.encode("latin-1") + b"done"
+
+        endpoint = FakeEndpoint(respond)
+        async with (
+            listening(endpoint.handle) as address,
+            running_gateway(address, react=send_on) as (gateway, script),
+            HttpClient(gateway.listener) as client,
+        ):
+            for _ in range(2):
+                response = await client.ask()
+                assert (response.status, response.body) == (200, b"done")
+            assert [e.load_report for e in script.of(AttemptFinished)] == [(), ()]
+            assert endpoint.opened == 1  # the connection goes on being used
+
+    run(test())
--- /dev/null
+++ b/tests/upstream/test_response_parser.py
@@ -0,0 +1,117 @@
+"""What the bytes of a response mean, fed to the parser whole and byte by byte, without sockets."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.policy.events import Outcome
+from gateway.upstream.errors import MalformedResponseError, UpstreamError
+from gateway.upstream.response_parser import (
+    MAX_BODY_BYTES,
+    MAX_HEADER_BYTES,
+    MAX_RESPONSE_BYTES,
+    ResponseParser,
+)
+
+OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+INTERIM = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nServer-Load: early\r\n\r\n"
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WITHOUT_FRAMING = b"HTTP/1.1 200 OK\r\n\r\nsome"
+
+
+@pytest.fixture
+def parser() -> ResponseParser:
+    return ResponseParser()
+
+
+@pytest.mark.parametrize("size", [1, 7, 1000])
+def test_a_response_is_complete_with_its_last_byte(parser: ResponseParser, size: int) -> None:
+    data = (
+        INTERIM + b"HTTP/1.1 200 OK\r\nServer-Load: a=1\r\ncontent-type: x/y\r\nContent-Length: 4\r\n\r\ndone"
+    )
+    for start in range(0, len(data), size):
+        assert not parser.is_complete
+        parser.feed(data[start : start + size])
+    assert (parser.is_complete, parser.is_reusable) == (True, True)
+    assert (parser.outcome, parser.body) == (Outcome.OK, b"done")
+    assert (parser.load_report, parser.content_type) == (b"a=1", b"x/y")
+
+
+@pytest.mark.parametrize(
+    ("status", "not_started", "outcome"),
+    [
+        (200, b"0", Outcome.OK), (200, b"1", Outcome.OK), (201, b"0", Outcome.ERROR),
+        (404, b"1", Outcome.ERROR), (500, b"1", Outcome.ERROR), (503, b"0", Outcome.ERROR),
+        (503, b"1", Outcome.OVERLOADED), (504, b"1", Outcome.OVERLOADED), (504, b"true", Outcome.ERROR),
+    ],
+)  # fmt: skip
+def test_the_outcome_follows_from_status_and_not_started(
+    parser: ResponseParser, status: int, not_started: bytes, outcome: Outcome
+) -> None:
+    parser.feed(b"HTTP/1.1 %d X\r\nNot-Started: %s\r\nContent-Length: 0\r\n\r\n" % (status, not_started))
+    assert parser.is_complete
+    assert parser.outcome is outcome
+
+
+def test_reset_forgets_the_last_response(parser: ResponseParser) -> None:
+    parser.feed(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nServer-Load: a=1\r\nContent-Length: 1\r\n\r\nx")
+    parser.reset()
+    assert not parser.is_complete
+    parser.feed(OK)
+    assert (parser.outcome, parser.body, parser.load_report) == (Outcome.OK, b"done", b"")
+
+
+@pytest.mark.parametrize("behind", [OK, b"\x00\x01 noise", b"HTTP/1.1 5"], ids=range(3))
+def test_bytes_behind_a_response_do_not_spoil_it_but_its_connection(
+    parser: ResponseParser, behind: bytes
+) -> None:
+    parser.feed(OK + behind)
+    assert (parser.is_complete, parser.is_reusable) == (True, False)
+    assert (parser.outcome, parser.body) == (Outcome.OK, b"done")
+
+
+def test_connection_close_rules_out_reuse(parser: ResponseParser) -> None:
+    parser.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+    assert (parser.is_complete, parser.is_reusable) == (True, False)
+
+
+def test_the_end_of_the_connection_completes_a_response_without_framing(parser: ResponseParser) -> None:
+    parser.feed(WITHOUT_FRAMING)
+    assert not parser.is_complete
+    parser.feed_eof()
+    assert (parser.is_complete, parser.is_reusable, parser.body) == (True, False, b"some")
+
+
+@pytest.mark.parametrize("data", [b"", b"HTTP/1.1 200 OK\r\n", OK[:-1], CHUNKED + b"4\r\ndone", INTERIM])
+def test_the_end_of_the_connection_does_not_complete_part_of_a_response(
+    parser: ResponseParser, data: bytes
+) -> None:
+    parser.feed(data)
+    parser.feed_eof()
+    assert not parser.is_complete
+
+
+# Guards the bounds of what one response may take; each is just over its limit.
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"HTTP/1.1 200 OK\r\nX-Pad: ".ljust(MAX_HEADER_BYTES + 1, b"x"),
+        INTERIM * (MAX_HEADER_BYTES // len(INTERIM) + 1),
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
+        CHUNKED + b"%x\r\n" % (MAX_BODY_BYTES + 1) + b"x" * (MAX_BODY_BYTES + 1),
+        (CHUNKED + b"0001" + b"\r\nx\r\n0001" * MAX_BODY_BYTES)[: MAX_RESPONSE_BYTES + 1],
+        b"\x16\x03\x01 noise\r\n\r\n",
+        b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + OK,
+    ],
+    ids=["headers", "interim responses", "announced body", "body", "chunks", "noise", "upgrade"],
+)
+def test_a_response_that_is_invalid_or_too_large_is_malformed(parser: ResponseParser, data: bytes) -> None:
+    with pytest.raises(MalformedResponseError) as error:
+        parser.feed(data)
+    assert isinstance(error.value, UpstreamError)
+    assert str(error.value)
+
+
+def test_a_response_of_the_largest_size_is_taken(parser: ResponseParser) -> None:
+    parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MAX_BODY_BYTES + b"x" * MAX_BODY_BYTES)
+    assert len(parser.body) == MAX_BODY_BYTES
