--- /dev/null
+++ b/gateway/frontend/http_response.py
@@ -0,0 +1,30 @@
+"""Encoding of the responses to clients."""
+
+from __future__ import annotations
+
+from gateway.frontend.errors import FrontendError
+from gateway.policy_driver import Response
+
+REASONS = {
+    200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
+    413: "Content Too Large", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
+}  # fmt: skip
+
+
+def encode_response(response: Response, close: bool) -> bytes:
+    """Return the bytes of a response; `close` announces that it is the last one on its connection."""
+    head = (
+        f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\nContent-Length: {len(response.body)}\r\n"
+    )
+    if response.retry_after > 0:
+        head += f"Retry-After: {response.retry_after:.3f}\r\n"
+    if close:
+        head += "Connection: close\r\n"
+    if response.content_type:
+        return head.encode() + b"Content-Type: " + response.content_type + b"\r\n\r\n" + response.body
+    return head.encode() + b"\r\n" + response.body
+
+
+def error_response(error: FrontendError) -> Response:
+    """Return the response to a request that failed here, with the text of the error as its body."""
+    return Response(error.status, f"{error}\n".encode(), retry_after=error.retry_after)
--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -1,4 +1,4 @@
-"""A request's terms: what the protocol and the settings allow, and nothing else, reaches the module."""
+"""Reads a request's target and headers, and rejects what the protocol or the settings rule out."""
 
 from __future__ import annotations
 
@@ -7,45 +7,52 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
-from gateway.policy.settings import Effect, Settings
+from gateway.frontend.errors import BadRequestError, UnknownRequestClassError
+from gateway.policy.settings import Effect, RequestClass, Settings
 
-CUSTOMERS = 1 << 33
-MOST_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
-SINGLE = frozenset(
+CUSTOMER_ID_LIMIT = 1 << 33  # ids are below it
+MAX_CALL_TERMS_BYTES = 96  # longer ones would also fill the cache
+MAX_QUERY_FIELDS = 32
+UNIQUE_HEADERS = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
 )
 TARGET = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
-TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")
+TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")  # in milliseconds or microseconds
 CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
 REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
-KEY = re.compile(rb"[!-~]{1,128}")
+IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
 UNITS = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
-PLACE = re.compile(r"\d{1,9}", re.ASCII)
-
-
-class BadRequestError(ValueError):
-    def __init__(self, text: str, status: int = 400) -> None:
-        super().__init__(text)
-        self.status = status
+GATEWAY_NUMBER = re.compile(r"\d{1,9}", re.ASCII)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestMetadata:
+    """What a request's target and headers tell; `timeout` is in seconds."""
+
     request_id: bytes
     class_index: int
     plan_index: int
     customer: int
-    timeout: float  # seconds
+    timeout: float
     units: float
     gateway_set_size: int
     first_gateway: int
     is_retry: bool
 
 
+@dataclass(slots=True, frozen=True)
+class CallTerms:
+    """The fields of X-Call-Terms."""
+
+    units: float
+    gateway_set_size: int
+    first_gateway: int
+
+
 @functools.lru_cache(maxsize=256)  # few distinct ones come
-def parse_call_terms(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of X-Call-Terms."""
+def parse_call_terms(text: bytes) -> CallTerms:
+    """Parse X-Call-Terms."""
     try:
         pairs = [part.split("=", 1) for part in text.decode("ascii").replace(" ", "").split(",")]
         values = {key: value for key, value in pairs}  # noqa: C416  # a part without "=" is a ValueError
@@ -53,85 +60,116 @@
     except (KeyError, ValueError):
         raise BadRequestError("malformed X-Call-Terms") from None
     if len(values) != len(pairs) or not (
-        UNITS.fullmatch(units) and PLACE.fullmatch(spread) and PLACE.fullmatch(first)
+        UNITS.fullmatch(units) and GATEWAY_NUMBER.fullmatch(spread) and GATEWAY_NUMBER.fullmatch(first)
     ):
         raise BadRequestError("malformed X-Call-Terms")
-    return float(units), int(spread), int(first)
+    return CallTerms(float(units), int(spread), int(first))
 
 
 def parse_timeout(text: bytes) -> float:
-    """Request-Timeout in seconds."""
-    found = TIMEOUT.fullmatch(text)
-    if found is None:
+    """Return Request-Timeout in seconds."""
+    match = TIMEOUT.fullmatch(text)
+    if match is None:
         raise BadRequestError("malformed Request-Timeout")
-    number = float(found[1] + b"." + (found[2] or b"0"))
-    return number / (1e3 if found[3] == b"m" else 1e6)
+    number = float(match[1] + b"." + (match[2] or b"0"))
+    return number / (1e3 if match[3] == b"m" else 1e6)
 
 
 def parse_customer(query: bytes) -> int:
-    # A second one, also one with an escaped name, could be read differently here and at a backend.
+    """Return the customer's id.
+
+    A second one, also one with an escaped name, could be read differently here and at an endpoint.
+    """
     try:
-        found = [v for k, v in parse_qsl(query.decode("ascii"), True, max_num_fields=32) if k == "customer"]
+        fields = parse_qsl(query.decode("ascii"), True, max_num_fields=MAX_QUERY_FIELDS)
     except ValueError:
         raise BadRequestError("malformed query") from None
-    if len(found) != 1 or not CUSTOMER.fullmatch(found[0]) or int(found[0], 16) >= CUSTOMERS:
+    found = [value for key, value in fields if key == "customer"]
+    if len(found) != 1 or not CUSTOMER.fullmatch(found[0]) or int(found[0], 16) >= CUSTOMER_ID_LIMIT:
         raise BadRequestError("malformed customer")
     return int(found[0], 16)
 
 
+def split_target(target: bytes) -> tuple[bytes, bytes]:
+    """Return the first segment of the path, which names the request class, and the query."""
+    match = TARGET.fullmatch(target)
+    if match is None or (b"/." in match[1] and {b".", b".."} & set(match[1].split(b"/"))):
+        raise BadRequestError("malformed target")
+    return match[1][1:].partition(b"/")[0], match[2] or b""
+
+
+def check_effect(method: bytes, key: bytes, request_class: RequestClass) -> None:
+    """Check that the method and Idempotency-Key are those of a class with its effect."""
+    if method == b"GET":
+        effect = Effect.IDEMPOTENT
+    else:
+        effect = Effect.IDEMPOTENT_WITH_KEY if key else Effect.NON_IDEMPOTENT
+    is_valid = method in (b"GET", b"POST") and effect is request_class.effect
+    if not is_valid or (key and not IDEMPOTENCY_KEY.fullmatch(key)):
+        raise BadRequestError("the method or Idempotency-Key is not that of the class")
+
+
+def reject_repeated_headers(fields: list[tuple[bytes, bytes]]) -> None:
+    """Raise an error if a header that counts is repeated.
+
+    It could be read differently here and at an endpoint.
+    """
+    seen = set()
+    for name, _ in fields:
+        if name in seen and name in UNIQUE_HEADERS:
+            raise BadRequestError("a header stands twice")
+        seen.add(name)
+
+
 class RequestMetadataParser:
-    """Reads terms by one site's settings."""
+    """Reads the metadata of requests by the settings of one site."""
 
-    def __init__(self, settings: Settings, most_units: float) -> None:
-        self.most_units, self.peers = most_units, settings.gateway_count
+    def __init__(self, settings: Settings, max_units: float) -> None:
+        self.max_units, self.gateway_count = max_units, settings.gateway_count
         self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans)}
 
     def parse(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestMetadata:
+        """Return a request's metadata; the names of the header fields are in lower case.
+
+        Raises:
+            FrontendError: The request is invalid; the first check that fails decides the response.
+        """
         headers = dict(fields)
         if len(headers) != len(fields):
-            self.reject_repeated_headers(fields)
-        found = TARGET.fullmatch(target)
-        if found is None or (b"/." in found[1] and {b".", b".."} & set(found[1].split(b"/"))):
-            raise BadRequestError("malformed target")
-        name = found[1][1:].partition(b"/")[0]
-        if name not in self.classes:
-            raise BadRequestError("no such class", 404)
-        number, cls = self.classes[name]
-        if headers.get(b"request-class") != name:
+            reject_repeated_headers(fields)
+        class_name, query = split_target(target)
+        if class_name not in self.classes:
+            raise UnknownRequestClassError("no such class")
+        class_index, request_class = self.classes[class_name]
+        if headers.get(b"request-class") != class_name:
             raise BadRequestError("Request-Class is not the path's")
-        plan = self.plans.get(headers.get(b"x-tier", b""))
-        if plan is None:
+        plan_index = self.plans.get(headers.get(b"x-tier", b""))
+        if plan_index is None:
             raise BadRequestError("no such X-Tier")
-        key = headers.get(b"idempotency-key", b"")
-        effect = (
-            Effect.IDEMPOTENT
-            if method == b"GET"
-            else Effect.IDEMPOTENT_WITH_KEY
-            if key
-            else Effect.NON_IDEMPOTENT
-        )
-        if method not in (b"GET", b"POST") or effect is not cls.effect or (key and not KEY.fullmatch(key)):
-            raise BadRequestError("the method or Idempotency-Key is not that of the class")
+        check_effect(method, headers.get(b"idempotency-key", b""), request_class)
         request_id = headers.get(b"request-id", b"")
         if not REQUEST_ID.fullmatch(request_id):
             raise BadRequestError("malformed Request-Id")
-        # A client waits for all its tries no longer than its class's deadline, so none is held longer.
-        timeout = min(cls.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
-        terms = headers.get(b"x-call-terms", b"")
-        if len(terms) > MOST_TERMS:
+        # A client waits for all its attempts no longer than the deadline of the class: none is kept longer.
+        timeout = min(request_class.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
+        terms = self.check_call_terms(headers.get(b"x-call-terms", b""))
+        customer = parse_customer(query)
+        is_retry = headers.get(b"client-retry") == b"1"
+        return RequestMetadata(
+            request_id, class_index, plan_index, customer, timeout,
+            terms.units, terms.gateway_set_size, terms.first_gateway, is_retry,
+        )  # fmt: skip
+
+    def check_call_terms(self, text: bytes) -> CallTerms:
+        """Parse X-Call-Terms, and check them against the settings."""
+        if len(text) > MAX_CALL_TERMS_BYTES:
             raise BadRequestError("malformed X-Call-Terms")
-        units, spread, first = parse_call_terms(terms)
-        if not (0 < units <= self.most_units and 0 < spread <= self.peers and first < self.peers):
+        terms = parse_call_terms(text)
+        if not (
+            0 < terms.units <= self.max_units
+            and 0 < terms.gateway_set_size <= self.gateway_count
+            and terms.first_gateway < self.gateway_count
+        ):
             raise BadRequestError("X-Call-Terms out of range")
-        customer = parse_customer(found[2] or b"")
-        is_retry = headers.get(b"client-retry") == b"1"
-        return RequestMetadata(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
-
-    def reject_repeated_headers(self, fields: list[tuple[bytes, bytes]]) -> None:
-        """A header that counts and stands twice could be read differently here and at a backend."""
-        seen = set()
-        for name, _ in fields:
-            if name in seen and name in SINGLE:
-                raise BadRequestError("a header stands twice")
-            seen.add(name)
+        return terms
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gateway.frontend import listener
-from gateway.frontend.listener import FLOOD
+from gateway.frontend.request_reader import MAX_DISCARDED_BYTES
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
 from tests.support.sockets import (
@@ -128,8 +128,8 @@
 def test_who_does_not_ask_in_time_gets_an_error_or_a_close(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener, "READ_TIMEOUT", 0.1)
-    monkeypatch.setattr(listener, "SWEEP", 0.02)
+    monkeypatch.setattr(listener, "READ_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
     async def test() -> None:
         async with (
@@ -156,9 +156,9 @@
             running_gateway("127.0.0.1:1", react=send_on) as (door, script),
             HttpClient(door.listener) as client,
         ):
-            client.writer.write(client.request(2, Content_Length=str(20 * FLOOD)))
+            client.writer.write(client.request(2, Content_Length=str(20 * MAX_DISCARDED_BYTES)))
             for _ in range(20):
-                client.writer.write(b"x" * FLOOD)
+                client.writer.write(b"x" * MAX_DISCARDED_BYTES)
                 await client.writer.drain()
             assert (await read_message(client.reader)).status == 413
             assert await client.reader.read() == b""
@@ -168,8 +168,8 @@
 
 
 def test_who_does_not_close_behind_an_error_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "LINGER", 0.1)
-    monkeypatch.setattr(listener, "SWEEP", 0.02)
+    monkeypatch.setattr(listener, "HALF_CLOSED_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
     async def test() -> None:
         async with (
@@ -184,7 +184,7 @@
 
 # Guards usual clients against hundreds of connections that say nothing.
 def test_silent_connections_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "SILENT_AFTER", 0.0)
+    monkeypatch.setattr(listener, "EVICTION_GRACE_SECONDS", 0.0)
 
     async def test() -> None:
         backend = FakeEndpoint(lambda message: http_response())
@@ -242,8 +242,8 @@
 
 # Guards new usual clients against a table full of connections that asked once and stay: the incident r76ab84.
 def test_idle_connections_end_early_once_the_table_is_half_full(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "SETTLED_AFTER", 0.1)
-    monkeypatch.setattr(listener, "SWEEP", 0.02)
+    monkeypatch.setattr(listener, "CROWDED_IDLE_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
     async def test() -> None:
         backend = FakeEndpoint(lambda message: http_response())
--- /dev/null
+++ b/tests/frontend/test_http_response.py
@@ -0,0 +1,55 @@
+"""The bytes of the responses to clients."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.frontend.errors import (
+    BadRequestError,
+    BodyTooLargeError,
+    DuplicateRequestIdError,
+    FrontendError,
+    RequestTimeoutError,
+    UnavailableError,
+    UnknownRequestClassError,
+)
+from gateway.frontend.http_response import encode_response, error_response
+from gateway.policy_driver import Response
+
+
+@pytest.mark.parametrize(
+    ("response", "close", "encoded"),
+    [
+        (Response(200), False, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+        (
+            Response(200, b"done", b"text/plain"),
+            False,
+            b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: text/plain\r\n\r\ndone",
+        ),
+        (
+            Response(503, retry_after=0.25),
+            True,
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.250\r\n"
+            b"Connection: close\r\n\r\n",
+        ),
+    ],
+)
+def test_encoded_response(response: Response, close: bool, encoded: bytes) -> None:
+    assert encode_response(response, close) == encoded
+
+
+@pytest.mark.parametrize(
+    ("error", "status", "retry_after"),
+    [
+        (BadRequestError("x"), 400, 0.0),
+        (UnknownRequestClassError("x"), 404, 0.0),
+        (RequestTimeoutError("x"), 408, 0.0),
+        (DuplicateRequestIdError("x"), 409, 0.0),
+        (BodyTooLargeError("x"), 413, 0.0),
+        (UnavailableError("x"), 503, 1.0),
+    ],
+)
+def test_the_type_of_an_error_decides_its_status(
+    error: FrontendError, status: int, retry_after: float
+) -> None:
+    assert error_response(error) == Response(status, b"x\n", retry_after=retry_after)
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from gateway.frontend.request_metadata import BadRequestError, RequestMetadata, RequestMetadataParser
+from gateway.frontend.errors import BadRequestError, FrontendError, UnknownRequestClassError
+from gateway.frontend.request_metadata import RequestMetadata, RequestMetadataParser
 from tests.support.sockets import config
 
 TARGET = b"/class-0?customer=0000000000000005"
@@ -28,6 +29,19 @@
     assert found == RequestMetadata(b"one", 0, 1, 5, 1.5, 1.5, 3, 2, False)
 
 
+@pytest.mark.parametrize(
+    "query",
+    [
+        b"customer=00000001ffFFffFF",
+        b"a=b&customer=00000001ffffffff",
+        b"%63ustomer=00000001ffffffff&customers=",
+    ],
+    ids=range(3),
+)
+def test_the_customer_may_stand_among_other_fields(parser: RequestMetadataParser, query: bytes) -> None:
+    assert parser.parse(b"GET", b"/class-0?" + query, list(HEADERS.items())).customer == (1 << 33) - 1
+
+
 def test_a_client_retry_is_marked_as_one(parser: RequestMetadataParser) -> None:
     assert parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"client-retry", b"1")]).is_retry
 
@@ -61,17 +75,20 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "text"),
+    ("target", "kind", "text"),
     [
-        (b"/class-0?customer=5", "malformed customer"),
-        (b"/class-0?customer=0000000000000005#", "malformed target"),
-        (b"/class-9?customer=0000000000000005", "no such class"),
+        (b"/class-0?customer=5", BadRequestError, "malformed customer"),
+        (b"/class-0?customer=0000000200000000", BadRequestError, "malformed customer"),
+        (b"/class-0?a=b&customer=0000000200000000", BadRequestError, "malformed customer"),
+        (b"/class-0?" + b"&" * 32 + b"customer=0000000000000005", BadRequestError, "malformed query"),
+        (b"/class-0?customer=0000000000000005#", BadRequestError, "malformed target"),
+        (b"/class-9?customer=0000000000000005", UnknownRequestClassError, "no such class"),
     ],
 )
 def test_the_text_of_an_error_names_the_part_of_the_target(
-    parser: RequestMetadataParser, target: bytes, text: str
+    parser: RequestMetadataParser, target: bytes, kind: type[FrontendError], text: str
 ) -> None:
-    with pytest.raises(BadRequestError) as error:
+    with pytest.raises(kind) as error:
         parser.parse(b"GET", target, list(HEADERS.items()))
     assert str(error.value) == text
 
--- /dev/null
+++ b/tests/frontend/test_request_reader.py
@@ -0,0 +1,168 @@
+"""What the bytes of requests mean, fed to the reader whole and byte by byte, without sockets."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.frontend.errors import BadRequestError, BodyTooLargeError, FrontendError, UnavailableError
+from gateway.frontend.request_reader import (
+    MAX_BODY_BYTES,
+    MAX_DISCARDED_BYTES,
+    MAX_HEADER_BYTES,
+    MAX_UNPARSED_BYTES,
+    ReaderState,
+    ReceivedRequest,
+    RequestReader,
+)
+
+UPGRADE = b"GET / HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"
+LONG_TARGET = b"GET /" + b"x" * MAX_HEADER_BYTES + b" HTTP/1.1\r\n\r\n"
+LONG_HEADER = b"GET / HTTP/1.1\r\nX: " + b"x" * MAX_HEADER_BYTES + b"\r\n\r\n"
+LONG_BODY = b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1)
+GET = b"GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n"
+POST = b"POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\nsome"
+
+
+class RecordingHandler:
+    """Keeps what the reader tells, and raises an error for a complete request if it is given one."""
+
+    def __init__(self) -> None:
+        self.events: list[str] = []
+        self.requests: list[ReceivedRequest] = []
+        self.body_bytes = 0
+        self.error: FrontendError | None = None
+
+    def request_started(self) -> None:
+        self.events.append("started")
+
+    def continue_expected(self) -> None:
+        self.events.append("continue")
+
+    def body_received(self, size: int) -> None:
+        self.body_bytes += size
+
+    def request_received(self, request: ReceivedRequest) -> None:
+        self.events.append("received")
+        self.requests.append(request)
+        if self.error is not None:
+            raise self.error
+
+
+@pytest.fixture
+def handler() -> RecordingHandler:
+    return RecordingHandler()
+
+
+@pytest.fixture
+def reader(handler: RecordingHandler) -> RequestReader:
+    return RequestReader(handler)
+
+
+@pytest.mark.parametrize("size", [1, 7, 1000])
+def test_a_request_is_received_with_its_last_byte(
+    reader: RequestReader, handler: RecordingHandler, size: int
+) -> None:
+    for start in range(0, len(POST), size):
+        assert not handler.requests
+        reader.feed(POST[start : start + size])
+    (request,) = handler.requests
+    assert (request.method, request.target, request.body) == (b"POST", b"/a", b"some")
+    assert request.headers == [(b"content-length", b"4")]
+    assert request.keep_alive
+    assert handler.events == ["started", "received"]
+    assert handler.body_bytes == 4
+    assert (reader.state, reader.unparsed_bytes) == (ReaderState.BETWEEN_REQUESTS, 0)
+
+
+def test_pipelined_requests_are_received_in_their_order(
+    reader: RequestReader, handler: RecordingHandler
+) -> None:
+    reader.feed(GET + POST + GET[:5])
+    assert [request.method for request in handler.requests] == [b"GET", b"POST"]
+    assert reader.is_receiving
+
+
+def test_connection_close_is_told(reader: RequestReader, handler: RecordingHandler) -> None:
+    reader.feed(b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n")
+    assert not handler.requests[0].keep_alive
+
+
+def test_the_client_may_wait_to_be_told_to_continue(reader: RequestReader, handler: RecordingHandler) -> None:
+    reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 4\r\nExpect: 100-Continue\r\n\r\n")
+    assert handler.events == ["started", "continue"]
+
+
+# Guards against a trailer that stands in for a header which is absent.
+def test_trailers_are_no_headers(reader: RequestReader, handler: RecordingHandler) -> None:
+    reader.feed(
+        b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n0\r\nRequest-Id: one\r\n\r\n"
+    )
+    (request,) = handler.requests
+    assert (request.headers, request.body) == ([(b"transfer-encoding", b"chunked")], b"some")
+
+
+# Guards the text and status that clients get for what cannot be read; sizes are just over their limits.
+@pytest.mark.parametrize(
+    ("data", "kind", "text"),
+    [
+        (b"nonsense\r\n\r\n", BadRequestError, "malformed request"),
+        (UPGRADE, BadRequestError, "no upgrades here"),
+        (LONG_TARGET, BadRequestError, "header too large"),
+        (LONG_HEADER, BadRequestError, "header too large"),
+        (LONG_BODY, BodyTooLargeError, "body too large"),
+        (
+            b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % (MAX_BODY_BYTES + 1)
+            + b"x" * (MAX_BODY_BYTES + 1),
+            BodyTooLargeError,
+            "body too large",
+        ),
+        (b"\r\n" * (MAX_UNPARSED_BYTES // 2 + 1), BadRequestError, "no request"),
+    ],
+    ids=["noise", "upgrade", "target", "header", "announced body", "chunked body", "empty lines"],
+)  # fmt: skip
+def test_what_is_no_valid_request_is_an_error(
+    reader: RequestReader, data: bytes, kind: type[FrontendError], text: str
+) -> None:
+    with pytest.raises(kind) as error:
+        reader.feed(data)
+    assert str(error.value) == text
+
+
+def test_an_error_of_the_handler_ends_the_reading(reader: RequestReader, handler: RecordingHandler) -> None:
+    handler.error = UnavailableError("no more")
+    with pytest.raises(UnavailableError) as error:
+        reader.feed(GET + GET)
+    assert error.value is handler.error
+    assert len(handler.requests) == 1
+
+
+# Guards against a request that is taken behind the last response on its connection.
+def test_nothing_is_received_once_the_reader_is_closed(
+    reader: RequestReader, handler: RecordingHandler, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def receive_last(request: ReceivedRequest) -> None:
+        handler.requests.append(request)
+        reader.close()
+
+    monkeypatch.setattr(handler, "request_received", receive_last)
+    with pytest.raises(BadRequestError):
+        reader.feed(GET + GET)
+    assert len(handler.requests) == 1
+    assert reader.is_closed
+
+
+def test_a_closed_reader_stays_closed_when_its_request_is_complete(
+    reader: RequestReader, handler: RecordingHandler
+) -> None:
+    reader.feed(GET[:-1])
+    reader.close()
+    reader.feed(GET[-1:])
+    assert handler.events == ["started", "received"]
+    assert reader.is_closed
+
+
+def test_discarded_bytes_pause_the_client_now_and_then(reader: RequestReader) -> None:
+    reader.close()
+    assert not reader.discard(MAX_DISCARDED_BYTES)
+    assert reader.discard(1)
+    assert not reader.discard(MAX_DISCARDED_BYTES)
--- a/tests/process/test_crossings.py
+++ b/tests/process/test_crossings.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gateway.__main__ import GatewayProcess
-from gateway.frontend.listener import ClientConnection as Connection
+from gateway.frontend.client_connection import ClientConnection
 from gateway.policy.actions import Action, Reject, StartAttempt
 from gateway.policy.events import (
     AttemptFinished,
@@ -293,10 +293,10 @@
                 if how == "drain":
                     server.stop_listening()
                 elif how == "idle":
-                    idle.since = float("-inf")
+                    idle.queued_since = float("-inf")
                     server.close_overdue_connections()
                 else:
-                    assert server.victim(Connection(server)) is not idle
+                    assert server.choose_evicted(ClientConnection(server)) is not idle
                 answer = b""
                 while b"done" not in answer:
                     part = await loop.sock_recv(client, 1 << 16)
@@ -318,7 +318,7 @@
             with connected(door) as client:
                 loop = asyncio.get_running_loop()
                 await loop.sock_sendall(client, REQUEST + b"half")
-                await until(lambda: any(c.arriving for c in door.listener.new_connections))
+                await until(lambda: any(c.is_receiving for c in door.listener.new_connections))
                 door.drain_timeout = 10.0 if whole else 0.1
                 drained = asyncio.create_task(door.drain())
                 await until(lambda: door.listener.stopping)
--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -11,7 +11,9 @@
 
 import pytest
 
-from gateway.frontend.listener import IDLE_TIMEOUT, MOST_BODY, MOST_HEAD, MOST_PIPELINED
+from gateway.frontend.client_connection import MAX_PIPELINED_REQUESTS
+from gateway.frontend.listener import IDLE_TIMEOUT_SECONDS
+from gateway.frontend.request_reader import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from gateway.policy.actions import Action, Cancel, Fail, Probe, Reject, SetTimer, StartAttempt
 from gateway.policy.engine import WINDOW, mix
 from gateway.policy.events import (
@@ -109,8 +111,8 @@
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
         (1, "Idempotency-Key", "", 400),  # keyed, but with no key to drop a repeat by
         (2, "Idempotency-Key", "5c0f", 400),
-        (0, "X-Pad", "x" * MOST_HEAD, 400),
-        (2, "Content-Length", str(MOST_BODY + 1), 413),
+        (0, "X-Pad", "x" * MAX_HEADER_BYTES, 400),
+        (2, "Content-Length", str(MAX_BODY_BYTES + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
@@ -173,25 +175,25 @@
 
 def test_pipelined_requests_are_bounded() -> None:
     async def test() -> None:
-        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MOST_BODY))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MAX_BODY_BYTES))
         async with (
             listening(backend.handle) as dial,
             running_gateway(dial, react=send_on) as (door, script),
             HttpClient(door.listener) as client,
         ):
             client.writer.write(b"".join(client.request() for _ in range(100)))
-            answers = [await read_message(client.reader) for _ in range(MOST_PIPELINED + 1)]
-            assert [a.status for a in answers] == [200] * MOST_PIPELINED + [503]
+            answers = [await read_message(client.reader) for _ in range(MAX_PIPELINED_REQUESTS + 1)]
+            assert [a.status for a in answers] == [200] * MAX_PIPELINED_REQUESTS + [503]
             assert "retry-after" in answers[-1].headers
             assert await client.reader.read() == b""  # the rest is not read as requests
-            assert len(script.of(Request)) == MOST_PIPELINED
+            assert len(script.of(Request)) == MAX_PIPELINED_REQUESTS
 
     run(test())
 
 
 def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
     async def test() -> None:
-        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MOST_BODY))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MAX_BODY_BYTES))
         async with (
             listening(backend.handle) as dial,
             running_gateway(dial, react=send_on) as (door, _),
@@ -209,14 +211,14 @@
             client.writer.write(client.request())
             for _ in range(asked + 1):  # once it reads, all of it comes
                 answer = await read_message(client.reader)
-                assert (answer.status, len(answer.body)) == (200, MOST_BODY)
+                assert (answer.status, len(answer.body)) == (200, MAX_BODY_BYTES)
 
     run(test())
 
 
 def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
     async def test() -> None:
-        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MOST_BODY))
+        backend = FakeEndpoint(lambda message: http_response(body=b"x" * MAX_BODY_BYTES))
         async with (
             listening(backend.handle) as dial,
             running_gateway(dial, react=send_on) as (door, _),
@@ -229,7 +231,7 @@
                 seen = len(backend.seen)
                 client.writer.write(client.request())
                 await until(lambda seen=seen: len(backend.seen) > seen and not served.pending)  # type: ignore[misc]
-            served.since -= IDLE_TIMEOUT
+            served.queued_since -= IDLE_TIMEOUT_SECONDS
             await until(lambda: not door.listener.connections)
 
     run(test())
@@ -251,7 +253,7 @@
             HttpClient(door.listener) as client,
         ):
             first = await client.send(client.request() + client.request())
-            assert MOST_PIPELINED >= 2
+            assert MAX_PIPELINED_REQUESTS >= 2
             assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
 
     run(test())
