--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -19,6 +19,7 @@
 )
 TARGET = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
 TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")  # in milliseconds or microseconds
+CUSTOMER_QUERY = re.compile(rb"customer=([0-9a-fA-F]{16})")
 CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
 REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
 IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
@@ -78,16 +79,26 @@
 def parse_customer(query: bytes) -> int:
     """Return the customer's id.
 
-    A second one, also one with an escaped name, could be read differently here and at an endpoint.
+    A second one, also one with an escaped name, could be read differently here and at an endpoint.  The usual
+    query, with nothing else in it, does without the general parser, which takes several times as long.
     """
+    if (match := CUSTOMER_QUERY.fullmatch(query)) is not None:
+        return check_customer(int(match[1], 16))
     try:
         fields = parse_qsl(query.decode("ascii"), True, max_num_fields=MAX_QUERY_FIELDS)
     except ValueError:
         raise BadRequestError("malformed query") from None
     found = [value for key, value in fields if key == "customer"]
-    if len(found) != 1 or not CUSTOMER.fullmatch(found[0]) or int(found[0], 16) >= CUSTOMER_ID_LIMIT:
+    if len(found) != 1 or not CUSTOMER.fullmatch(found[0]):
         raise BadRequestError("malformed customer")
-    return int(found[0], 16)
+    return check_customer(int(found[0], 16))
+
+
+def check_customer(customer: int) -> int:
+    """Check the range of a customer's id."""
+    if customer >= CUSTOMER_ID_LIMIT:
+        raise BadRequestError("malformed customer")
+    return customer
 
 
 def split_target(target: bytes) -> tuple[bytes, bytes]:
