--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -6,7 +6,7 @@
 
 from gateway.frontend.errors import BadRequestError, FrontendError, UnknownRequestClassError
 from gateway.frontend.request_metadata import RequestMetadata, RequestMetadataParser
-from tests.support.sockets import config
+from tests.support.sockets import HttpClient, config, run, running_gateway, send_on
 
 TARGET = b"/class-0?customer=0000000000000005"
 HEADERS = {
@@ -97,3 +97,57 @@
     with pytest.raises(BadRequestError) as error:
         parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"x-tier", b"plan-0")])
     assert str(error.value) == "a header stands twice"
+
+
+# Guards the policy and customers' quotas against terms that the protocol or the settings do not allow; the
+# connection is closed, as its descriptor is of use to others.
+@pytest.mark.parametrize(
+    "terms",
+    [
+        "units=0,spread=3,first=0", "units=-1,spread=3,first=0", "units=3,spread=3,first=0",
+        "units=1_0,spread=3,first=0", "units=inf,spread=3,first=0", "units=1e0,spread=3,first=0",
+        "units=1,spread=0,first=0", "units=1,spread=4,first=0", "units=1,spread=1_0,first=0",
+        "units=1,spread=+3,first=0", "units=1,spread=3,first=3", "units=1,spread=3,first=-1",
+        "units=1,spread=3", "units=1,units=2,spread=3,first=0", "units,spread=3,first=0",
+        "units=1,spread=3.0,first=0", "units=1,spread=3,first=0" + " " * 100, "",
+    ],
+)  # fmt: skip
+def test_call_terms_out_of_range_are_rejected(terms: str) -> None:
+    async def test() -> None:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on, extra__most_units="2") as (gateway, policy),
+            HttpClient(gateway.listener) as client,
+        ):
+            assert (await client.ask(X_Call_Terms=terms)).status == 400
+            assert await client.reader.read() == b""
+            assert not policy.events
+            assert not gateway.listener.open_request_ids
+
+    run(test())
+
+
+@pytest.mark.parametrize(
+    "target",
+    [
+        b"/class-0?customer=0000000200000000", b"/class-0?customer=5", b"/class-0", b"/class-0?customer=",
+        b"/class-0?customer=0000000000000005&%63ustomer=0000000000000006",
+        b"/class-0#?customer=0000000000000005",
+        b"/class-0/../class-1?customer=0000000000000005", b"http://x/class-0?customer=0000000000000005",
+        b"/class-9?customer=0000000000000005",
+        b"/class-0?customer=0000000000000005&customer=0000000000000005",
+    ],
+    ids=range(10),
+)  # fmt: skip
+def test_targets_that_could_be_read_in_two_ways_are_rejected(target: bytes) -> None:
+    async def test() -> None:
+        async with (
+            running_gateway("127.0.0.1:1", react=send_on) as (gateway, policy),
+            HttpClient(gateway.listener) as client,
+        ):
+            good = client.request()
+            bad = good.replace(b"/class-0?customer=0000000000000005", target)
+            assert bad != good
+            assert (await client.send(bad)).status in (400, 404)
+            assert not policy.events
+
+    run(test())
