--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -13,7 +13,7 @@
 from gateway.frontend.exchange import Exchange
 from gateway.frontend.http_response import encode_response, error_response
 from gateway.frontend.request_reader import ReceivedRequest, RequestReader
-from gateway.policy_driver import Response
+from gateway.open_request import Response
 
 if TYPE_CHECKING:
     from gateway.frontend.listener import Listener
--- a/gateway/frontend/exchange.py
+++ b/gateway/frontend/exchange.py
@@ -8,8 +8,9 @@
 from gateway.frontend.forwarded_request import ForwardedRequest
 from gateway.frontend.request_metadata import RequestMetadata
 from gateway.frontend.request_reader import ReceivedRequest
+from gateway.open_request import OpenRequest, Response
 from gateway.policy.events import Request
-from gateway.policy_driver import OpenRequest, PolicyDriver, Response
+from gateway.policy_driver import PolicyDriver
 
 
 class ExchangeOwner(Protocol):
--- a/gateway/frontend/http_response.py
+++ b/gateway/frontend/http_response.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gateway.frontend.errors import FrontendError
-from gateway.policy_driver import Response
+from gateway.open_request import Response
 
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from gateway.config import Address
+from gateway.address import Address
 from gateway.policy.events import Outcome
 from gateway.upstream.attempt import Attempt, AttemptResult
 from gateway.upstream.connection_pool import EndpointPool
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -8,7 +8,7 @@
 from collections.abc import Coroutine
 from typing import Any, Protocol
 
-from gateway.config import Address
+from gateway.address import Address
 from gateway.policy.events import Outcome
 from gateway.upstream.attempt import Attempt
 from gateway.upstream.connection import UpstreamConnection
--- a/tests/frontend/test_http_response.py
+++ b/tests/frontend/test_http_response.py
@@ -14,7 +14,7 @@
     UnknownRequestClassError,
 )
 from gateway.frontend.http_response import encode_response, error_response
-from gateway.policy_driver import Response
+from gateway.open_request import Response
 
 
 @pytest.mark.parametrize(
--- a/tests/process/gated_loop.py
+++ b/tests/process/gated_loop.py
@@ -6,7 +6,7 @@
 import socket
 from typing import Any
 
-from gateway.__main__ import GatewayProcess
+from gateway.process import GatewayProcess
 
 
 class GatedLoop:
--- a/tests/process/raw_client.py
+++ b/tests/process/raw_client.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from gateway.__main__ import GatewayProcess
+from gateway.process import GatewayProcess
 from tests.support.sockets import until
 
 
--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from gateway.__main__ import GatewayProcess
+from gateway.process import GatewayProcess
 from tests.support.sockets import FakeDiscoveryAgent, config, host_line, listening, run, until
 
 
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -50,7 +50,7 @@
 def test_an_incomplete_request_gets_a_response_before_the_process_ends(
     whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
+    monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
 
     async def test() -> None:
         endpoint = FakeEndpoint()
@@ -80,8 +80,8 @@
 
 # Guards against a shutdown that cuts off the last responses of clients that read slowly.
 def test_shutdown_waits_for_unsent_responses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gateway.__main__.LINGER", 0.0)
-    monkeypatch.setattr("gateway.__main__.FLUSH", 0.1)
+    monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
+    monkeypatch.setattr("gateway.process.FLUSH_SECONDS", 0.1)
 
     async def test() -> None:
         body = b"x" * 60_000
