--- a/tests/frontend/test_listener.py
+++ b/tests/frontend/test_listener.py
@@ -11,13 +11,13 @@
 from gateway.frontend import listener
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
+from tests.process.harness import async_test
 from tests.support.sockets import (
     FakeEndpoint,
     HttpClient,
     http_response,
     listening,
     read_message,
-    run,
     running_gateway,
     send_on,
     until,
@@ -25,129 +25,121 @@
 
 
 # Guards against two requests with one id at the endpoints, and against a response to the wrong client.
-def test_a_request_id_that_is_open_is_rejected() -> None:
-    async def test() -> None:
-        held: list[Request] = []
-
-        def react(event: Any) -> list[Action]:
-            held.extend([event] if isinstance(event, Request) else [])
-            return [Reject(held[0].request_id, 0.5)] if len(held) == 2 else []
-
-        async with (
-            running_gateway("127.0.0.1:1", react=react) as (gateway, _),
-            HttpClient(gateway.listener) as one,
-            HttpClient(gateway.listener) as two,
-            HttpClient(gateway.listener) as three,
-        ):
-            one.writer.write(one.request(Request_Id="taken"))
-            await until(lambda: held)
-            assert (await two.ask(Request_Id="taken")).status == 409
-            assert len(held) == 1
-            three.writer.write(three.request(Request_Id="other"))
-            assert (await read_message(one.reader)).status == 503
-            assert gateway.listener.open_request_ids == {b"other"}
-
-    run(test())
+@async_test
+async def test_a_request_id_that_is_open_is_rejected() -> None:
+    held: list[Request] = []
+
+    def react(event: Any) -> list[Action]:
+        held.extend([event] if isinstance(event, Request) else [])
+        return [Reject(held[0].request_id, 0.5)] if len(held) == 2 else []
+
+    async with (
+        running_gateway("127.0.0.1:1", react=react) as (gateway, _),
+        HttpClient(gateway.listener) as one,
+        HttpClient(gateway.listener) as two,
+        HttpClient(gateway.listener) as three,
+    ):
+        one.writer.write(one.request(Request_Id="taken"))
+        await until(lambda: held)
+        assert (await two.ask(Request_Id="taken")).status == 409
+        assert len(held) == 1
+        three.writer.write(three.request(Request_Id="other"))
+        assert (await read_message(one.reader)).status == 503
+        assert gateway.listener.open_request_ids == {b"other"}
 
 
 # Guards against connections that send nothing, or a request byte by byte: each takes a descriptor.
 @pytest.mark.parametrize("sent", [b"", b"GET /class-0?customer=00", b"\r\n"])
-def test_a_request_that_is_not_complete_in_time_gets_an_error_or_a_close(
+@async_test
+async def test_a_request_that_is_not_complete_in_time_gets_an_error_or_a_close(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener, "READ_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
-    async def test() -> None:
-        async with (
-            running_gateway("127.0.0.1:1", react=send_on) as (gateway, policy),
-            HttpClient(gateway.listener) as client,
-        ):
-            began = time.monotonic()
-            if sent:
-                client.writer.write(sent)
-                assert (await read_message(client.reader)).status == 408
-            assert await client.reader.read() == b""
-            assert 0.1 <= time.monotonic() - began < 2
-            client.writer.close()
-            await until(lambda: not gateway.listener.connections)
-            assert not policy.events
-
-    run(test())
-
-
-def test_a_client_that_does_not_close_behind_an_error_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with (
+        running_gateway("127.0.0.1:1", react=send_on) as (gateway, policy),
+        HttpClient(gateway.listener) as client,
+    ):
+        began = time.monotonic()
+        if sent:
+            client.writer.write(sent)
+            assert (await read_message(client.reader)).status == 408
+        assert await client.reader.read() == b""
+        assert 0.1 <= time.monotonic() - began < 2
+        client.writer.close()
+        await until(lambda: not gateway.listener.connections)
+        assert not policy.events
+
+
+@async_test
+async def test_a_client_that_does_not_close_behind_an_error_is_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(listener, "HALF_CLOSED_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
-    async def test() -> None:
-        async with (
-            running_gateway("127.0.0.1:1", react=send_on) as (gateway, _),
-            HttpClient(gateway.listener) as client,
-        ):
-            assert (await client.send(b"nonsense\r\n\r\n")).status == 400
-            await until(lambda: not gateway.listener.connections)
-
-    run(test())
+    async with (
+        running_gateway("127.0.0.1:1", react=send_on) as (gateway, _),
+        HttpClient(gateway.listener) as client,
+    ):
+        assert (await client.send(b"nonsense\r\n\r\n")).status == 400
+        await until(lambda: not gateway.listener.connections)
 
 
 # Guards clients that send requests against hundreds of connections that send nothing.
-def test_silent_connections_are_closed_to_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_silent_connections_are_closed_to_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "EVICTION_GRACE_SECONDS", 0.0)
 
-    async def test() -> None:
-        endpoint = FakeEndpoint(lambda _message: http_response())
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, _),
-            HttpClient(gateway.listener) as usual,
-        ):
-            gateway.listener.max_connections = 5
-            assert (await usual.ask()).status == 200
-            silent = [await asyncio.open_connection("127.0.0.1", usual.port) for _ in range(30)]
-            await until(lambda: len(gateway.listener.connections) == 5)
-            async with HttpClient(gateway.listener) as new:
-                assert (await new.ask()).status == 200
-            assert (await usual.ask()).status == 200  # it sent a request a moment ago: others were closed
-            for _, writer in silent:
-                writer.close()
-
-    run(test())
+    endpoint = FakeEndpoint(lambda _message: http_response())
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, _),
+        HttpClient(gateway.listener) as usual,
+    ):
+        gateway.listener.max_connections = 5
+        assert (await usual.ask()).status == 200
+        silent = [await asyncio.open_connection("127.0.0.1", usual.port) for _ in range(30)]
+        await until(lambda: len(gateway.listener.connections) == 5)
+        async with HttpClient(gateway.listener) as new:
+            assert (await new.ask()).status == 200
+        assert (await usual.ask()).status == 200  # it sent a request a moment ago: others were closed
+        for _, writer in silent:
+            writer.close()
 
 
 # Guards new clients against a full table of connections that sent one request and stay: the incident r76ab84.
-def test_idle_connections_are_closed_early_once_half_of_all_are_open(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_idle_connections_are_closed_early_once_half_of_all_are_open(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(listener, "CROWDED_IDLE_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
-    async def test() -> None:
-        endpoint = FakeEndpoint(lambda _message: http_response())
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, _),
-            HttpClient(gateway.listener) as one,
-            HttpClient(gateway.listener) as two,
-        ):
-            for client in (one, two):
-                assert (await client.ask()).status == 200
-            gateway.listener.max_connections = 4
-            await until(lambda: not gateway.listener.connections)
-
-    run(test())
+    endpoint = FakeEndpoint(lambda _message: http_response())
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, _),
+        HttpClient(gateway.listener) as one,
+        HttpClient(gateway.listener) as two,
+    ):
+        for client in (one, two):
+            assert (await client.ask()).status == 200
+        gateway.listener.max_connections = 4
+        await until(lambda: not gateway.listener.connections)
 
 
 # Guards against memory that is kept for bodies which are never complete.
-def test_the_bytes_of_incomplete_bodies_are_bounded_together() -> None:
-    async def test() -> None:
-        async with running_gateway("127.0.0.1:1", react=lambda _event: []) as (gateway, policy):
-            gateway.listener.max_buffered_bytes = 1500
-            async with HttpClient(gateway.listener) as one, HttpClient(gateway.listener) as two:
-                half = one.request(2, Content_Length="2000") + b"x" * 1000
-                one.writer.write(half)
-                await until(lambda: gateway.listener.buffered_bytes == 1000)
-                response = await two.send(half)
-                assert (response.status, "retry-after" in response.headers) == (503, True)
-            await until(lambda: gateway.listener.buffered_bytes == 0)
-            assert not policy.events
-
-    run(test())
+@async_test
+async def test_the_bytes_of_incomplete_bodies_are_bounded_together() -> None:
+    async with running_gateway("127.0.0.1:1", react=lambda _event: []) as (gateway, policy):
+        gateway.listener.max_buffered_bytes = 1500
+        async with HttpClient(gateway.listener) as one, HttpClient(gateway.listener) as two:
+            half = one.request(2, Content_Length="2000") + b"x" * 1000
+            one.writer.write(half)
+            await until(lambda: gateway.listener.buffered_bytes == 1000)
+            response = await two.send(half)
+            assert (response.status, "retry-after" in response.headers) == (503, True)
+        await until(lambda: gateway.listener.buffered_bytes == 0)
+        assert not policy.events
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -7,98 +7,93 @@
 import pytest
 
 from gateway.frontend.client_connection import ClientConnection
+from tests.process.harness import async_test
 from tests.process.raw_client import REQUEST, connected, read_all, send_four_requests
-from tests.support.sockets import FakeEndpoint, http_response, listening, run, running_gateway, send_on, until
+from tests.support.sockets import FakeEndpoint, http_response, listening, running_gateway, send_on, until
 
 
 # Guards against closing a connection as idle when a request has come that was not read yet.
 @pytest.mark.parametrize("how", ["drain", "idle", "room"])
-def test_a_connection_is_not_closed_on_a_request_that_is_not_read_yet(how: str) -> None:
-    async def test() -> None:
-        endpoint = FakeEndpoint()
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, _),
-        ):
-            listener = gateway.listener
-            with connected(gateway) as client:
-                loop = asyncio.get_running_loop()
-                await loop.sock_sendall(client, REQUEST + b"one\r\n\r\n")
-                assert b" 200 OK" in await loop.sock_recv(client, 1 << 16)
-                await until(lambda: listener.idle_connections)
-                (idle,) = listener.idle_connections
-                assert client.send(REQUEST + b"two\r\n\r\n")  # no step of the loop lies between these
-                if how == "drain":
-                    listener.stop_listening()
-                elif how == "idle":
-                    idle.queued_since = float("-inf")
-                    listener.close_overdue_connections()
-                else:
-                    assert listener.choose_evicted(ClientConnection(listener)) is not idle
-                response = b""
-                while b"done" not in response:
-                    part = await loop.sock_recv(client, 1 << 16)
-                    assert part, "closed with no response"
-                    response += part
-                assert b" 200 OK" in response
-
-    run(test())
+@async_test
+async def test_a_connection_is_not_closed_on_a_request_that_is_not_read_yet(how: str) -> None:
+    endpoint = FakeEndpoint()
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, _),
+    ):
+        listener = gateway.listener
+        with connected(gateway) as client:
+            loop = asyncio.get_running_loop()
+            await loop.sock_sendall(client, REQUEST + b"one\r\n\r\n")
+            assert b" 200 OK" in await loop.sock_recv(client, 1 << 16)
+            await until(lambda: listener.idle_connections)
+            (idle,) = listener.idle_connections
+            assert client.send(REQUEST + b"two\r\n\r\n")  # no step of the loop lies between these
+            if how == "drain":
+                listener.stop_listening()
+            elif how == "idle":
+                idle.queued_since = float("-inf")
+                listener.close_overdue_connections()
+            else:
+                assert listener.choose_evicted(ClientConnection(listener)) is not idle
+            response = b""
+            while b"done" not in response:
+                part = await loop.sock_recv(client, 1 << 16)
+                assert part, "closed with no response"
+                response += part
+            assert b" 200 OK" in response
 
 
 # Guards against the end of the process on an incomplete request: the client may have sent all of it by then.
 @pytest.mark.parametrize("whole", [True, False])
-def test_an_incomplete_request_gets_a_response_before_the_process_ends(
+@async_test
+async def test_an_incomplete_request_gets_a_response_before_the_process_ends(
     whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
 
-    async def test() -> None:
-        endpoint = FakeEndpoint()
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, _),
-        ):
-            with connected(gateway) as client:
-                loop = asyncio.get_running_loop()
-                await loop.sock_sendall(client, REQUEST + b"half")
-                await until(lambda: any(c.is_receiving for c in gateway.listener.new_connections))
-                gateway.drain_timeout = 10.0 if whole else 0.1
-                drained = asyncio.create_task(gateway.drain())
-                await until(lambda: gateway.listener.stopping)
-                await asyncio.sleep(0)
-                if whole:
-                    assert not drained.done()
-                    await loop.sock_sendall(client, b"\r\n\r\n")
-                response = await read_all(client)
-                client.close()
-                await drained
-                assert response.startswith(b"HTTP/1.1 200" if whole else b"HTTP/1.1 503")
-                assert b"Connection: close" in response
-
-    run(test())
+    endpoint = FakeEndpoint()
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, _),
+    ):
+        with connected(gateway) as client:
+            loop = asyncio.get_running_loop()
+            await loop.sock_sendall(client, REQUEST + b"half")
+            await until(lambda: any(c.is_receiving for c in gateway.listener.new_connections))
+            gateway.drain_timeout = 10.0 if whole else 0.1
+            drained = asyncio.create_task(gateway.drain())
+            await until(lambda: gateway.listener.stopping)
+            await asyncio.sleep(0)
+            if whole:
+                assert not drained.done()
+                await loop.sock_sendall(client, b"\r\n\r\n")
+            response = await read_all(client)
+            client.close()
+            await drained
+            assert response.startswith(b"HTTP/1.1 200" if whole else b"HTTP/1.1 503")
+            assert b"Connection: close" in response
 
 
 # Guards against a shutdown that cuts off the last responses of clients that read slowly.
-def test_shutdown_waits_for_unsent_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+@async_test
+async def test_shutdown_waits_for_unsent_responses(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
     monkeypatch.setattr("gateway.process.FLUSH_SECONDS", 0.1)
 
-    async def test() -> None:
-        body = b"x" * 60_000
-        endpoint = FakeEndpoint(lambda _message: http_response(body=body))
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, _),
-        ):
-            gateway.drain_timeout = 10.0
-            with connected(gateway) as client:
-                await send_four_requests(gateway, client)
-                await until(lambda: gateway.listener.has_unsent_responses() and not gateway.driver.unanswered)
-                drained = asyncio.create_task(gateway.drain())
-                done, _ = await asyncio.wait([drained], timeout=0.3)  # it may not end: nothing is read
-                assert not done
-                assert (await read_all(client)).count(body) == 4
-                client.close()
-                await drained
-
-    run(test())
+    body = b"x" * 60_000
+    endpoint = FakeEndpoint(lambda _message: http_response(body=body))
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, _),
+    ):
+        gateway.drain_timeout = 10.0
+        with connected(gateway) as client:
+            await send_four_requests(gateway, client)
+            await until(lambda: gateway.listener.has_unsent_responses() and not gateway.driver.unanswered)
+            drained = asyncio.create_task(gateway.drain())
+            done, _ = await asyncio.wait([drained], timeout=0.3)  # it may not end: nothing is read
+            assert not done
+            assert (await read_all(client)).count(body) == 4
+            client.close()
+            await drained
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -10,6 +10,7 @@
 import pytest
 
 from gateway.policy.events import AttemptFinished, Outcome
+from tests.process.harness import async_test
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
@@ -17,7 +18,6 @@
     http_response,
     listening,
     read_message,
-    run,
     running_gateway,
     send_on,
     until,
@@ -30,55 +30,51 @@
 @pytest.mark.parametrize(
     "behind", [http_response(body=b"a second copy"), b"\x00\x01 noise", b"HTTP/1.1 2"], ids=range(3)
 )
-def test_bytes_behind_a_response_are_not_the_next_response(behind: bytes) -> None:
-    async def test() -> None:
-        endpoint = FakeEndpoint(lambda message: echo_request_id(message) + behind)
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=one_at_a_time()) as (gateway, script),
-            HttpClient(gateway.listener) as one,
-            HttpClient(gateway.listener) as two,
-        ):
-            one.writer.write(one.request(Request_Id="one"))
-            two.writer.write(two.request(Request_Id="two"))
-            responses = [await read_message(c.reader) for c in (one, two)]
-            assert [(a.status, a.body) for a in responses] == [(200, b"one"), (200, b"two")]
-            assert script.outcomes() == [Outcome.OK, Outcome.OK]
-            assert endpoint.opened == 2  # such a connection is of no further use
-
-    run(test())
+@async_test
+async def test_bytes_behind_a_response_are_not_the_next_response(behind: bytes) -> None:
+    endpoint = FakeEndpoint(lambda message: echo_request_id(message) + behind)
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=one_at_a_time()) as (gateway, script),
+        HttpClient(gateway.listener) as one,
+        HttpClient(gateway.listener) as two,
+    ):
+        one.writer.write(one.request(Request_Id="one"))
+        two.writer.write(two.request(Request_Id="two"))
+        responses = [await read_message(c.reader) for c in (one, two)]
+        assert [(a.status, a.body) for a in responses] == [(200, b"one"), (200, b"two")]
+        assert script.outcomes() == [Outcome.OK, Outcome.OK]
+        assert endpoint.opened == 2  # such a connection is of no further use
 
 
 # Guards against the same where the bytes come while the connection is idle, and the loop has not read them
 # when the next attempt needs a connection.
-def test_an_idle_connection_with_bytes_to_read_carries_no_attempt() -> None:
-    async def test() -> None:
-        writers: list[asyncio.StreamWriter] = []
-
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writers.append(writer)
-            while True:
-                writer.write(echo_request_id(await read_message(reader)))
-
-        async with (
-            listening(handle) as address,
-            running_gateway(address, react=send_on) as (gateway, _),
-            HttpClient(gateway.listener) as client,
-        ):
-            assert (await client.ask(Request_Id="one")).body == b"one"
-            (pool,) = gateway.driver.upstream.pools.values()
-            (connection,) = pool.idle
-            assert connection.is_usable()
-            # No step of the loop lies between these: the bytes are in the socket, not yet read.
-            writers[0].write(http_response(body=b"a late second copy"))
-            assert not connection.is_usable()
-            results: list[Any] = []
-            payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-            gateway.driver.upstream.start_attempt(FIRST, payload, 1.0, results.append)
-            await until(lambda: results)
-            assert results[0].body == b"two"
-
-    run(test())
+@async_test
+async def test_an_idle_connection_with_bytes_to_read_carries_no_attempt() -> None:
+    writers: list[asyncio.StreamWriter] = []
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writers.append(writer)
+        while True:
+            writer.write(echo_request_id(await read_message(reader)))
+
+    async with (
+        listening(handle) as address,
+        running_gateway(address, react=send_on) as (gateway, _),
+        HttpClient(gateway.listener) as client,
+    ):
+        assert (await client.ask(Request_Id="one")).body == b"one"
+        (pool,) = gateway.driver.upstream.pools.values()
+        (connection,) = pool.idle
+        assert connection.is_usable()
+        # No step of the loop lies between these: the bytes are in the socket, not yet read.
+        writers[0].write(http_response(body=b"a late second copy"))
+        assert not connection.is_usable()
+        results: list[Any] = []
+        payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
+        gateway.driver.upstream.start_attempt(FIRST, payload, 1.0, results.append)
+        await until(lambda: results)
+        assert results[0].body == b"two"
 
 
 @pytest.mark.parametrize(
@@ -97,56 +93,52 @@
     ],
     ids=range(10),
 )
-def test_a_malformed_response_ends_its_attempt_at_once_and_may_have_run(malformed: bytes) -> None:
-    async def test() -> None:
-        endpoint = FakeEndpoint(lambda _message: malformed)
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, script),
-            HttpClient(gateway.listener) as client,
-        ):
-            assert (await client.ask()).status == 502
-            # Not RESET, for which the policy avoids an endpoint: one that sends malformed responses is up.
-            assert script.outcomes() == [Outcome.ERROR]
-            assert not Outcome.ERROR.never_ran
-            (finished,) = script.of(AttemptFinished)
-            assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
-            await until(lambda: not endpoint.open)
-
-    run(test())
+@async_test
+async def test_a_malformed_response_ends_its_attempt_at_once_and_may_have_run(malformed: bytes) -> None:
+    endpoint = FakeEndpoint(lambda _message: malformed)
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, script),
+        HttpClient(gateway.listener) as client,
+    ):
+        assert (await client.ask()).status == 502
+        # Not RESET, for which the policy avoids an endpoint: one that sends malformed responses is up.
+        assert script.outcomes() == [Outcome.ERROR]
+        assert not Outcome.ERROR.never_ran
+        (finished,) = script.of(AttemptFinished)
+        assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
+        await until(lambda: not endpoint.open)
 
 
 # Guards against a retry after a complete response that has no framing, as it ends with its connection; and
 # against taking part of one for the whole: a reset does not end it.
 @pytest.mark.parametrize("end", ["close", "reset", "close within the headers", "close within a length"])
-def test_a_response_without_framing_ends_with_its_connection_but_not_by_a_reset(end: str) -> None:
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            head = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
-            if end == "close within a length":
-                head += b"Content-Length: 9\r\n"
-            if end == "close within the headers":
-                return writer.write(head)
-            writer.write(head + b"\r\nsome")
-            await writer.drain()
-            await asyncio.sleep(0.05)
-            if end == "reset":
-                inner = writer.get_extra_info("socket")
-                inner.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                return writer.transport.abort()
-            writer.write(b"thing" if end == "close" else b"")
-            return None
-
-        async with (
-            listening(handle) as address,
-            running_gateway(address, react=send_on) as (gateway, script),
-            HttpClient(gateway.listener) as client,
-        ):
-            response = await client.ask(2)
-            whole = end == "close"
-            assert (response.status, response.body) == ((200, b"something") if whole else (502, b""))
-            assert script.outcomes() == [Outcome.OK if whole else Outcome.RESET]
-            assert not gateway.driver.upstream.pools[FIRST].idle
-
-    run(test())
+@async_test
+async def test_a_response_without_framing_ends_with_its_connection_but_not_by_a_reset(end: str) -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        head = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
+        if end == "close within a length":
+            head += b"Content-Length: 9\r\n"
+        if end == "close within the headers":
+            return writer.write(head)
+        writer.write(head + b"\r\nsome")
+        await writer.drain()
+        await asyncio.sleep(0.05)
+        if end == "reset":
+            inner = writer.get_extra_info("socket")
+            inner.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            return writer.transport.abort()
+        writer.write(b"thing" if end == "close" else b"")
+        return None
+
+    async with (
+        listening(handle) as address,
+        running_gateway(address, react=send_on) as (gateway, script),
+        HttpClient(gateway.listener) as client,
+    ):
+        response = await client.ask(2)
+        whole = end == "close"
+        assert (response.status, response.body) == ((200, b"something") if whole else (502, b""))
+        assert script.outcomes() == [Outcome.OK if whole else Outcome.RESET]
+        assert not gateway.driver.upstream.pools[FIRST].idle
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -6,7 +6,8 @@
 
 from gateway.policy.events import AttemptFinished
 from gateway.upstream.load_report import LoadReportParser
-from tests.support.sockets import FakeEndpoint, HttpClient, Message, listening, run, running_gateway, send_on
+from tests.process.harness import async_test
+from tests.support.sockets import FakeEndpoint, HttpClient, Message, listening, running_gateway, send_on
 
 MALFORMED = [
     "TEXT util=none", "TEXT queue=1_0, util=0.5, latency_ms=3", "=,=,", "TEXT \xff\xfe", "nan",
@@ -38,23 +39,21 @@
 
 
 @pytest.mark.parametrize("load", MALFORMED, ids=range(5))
-def test_a_malformed_report_does_not_spoil_the_response(load: str) -> None:
-    async def test() -> None:
-        def respond(_message: Message) -> bytes:
-            early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-            head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
-            return early + head.encode("latin-1") + b"done"
-
-        endpoint = FakeEndpoint(respond)
-        async with (
-            listening(endpoint.handle) as address,
-            running_gateway(address, react=send_on) as (gateway, script),
-            HttpClient(gateway.listener) as client,
-        ):
-            for _ in range(2):
-                response = await client.ask()
-                assert (response.status, response.body) == (200, b"done")
-            assert [e.load_report for e in script.of(AttemptFinished)] == [(), ()]
-            assert endpoint.opened == 1  # the connection goes on being used
-
-    run(test())
+@async_test
+async def test_a_malformed_report_does_not_spoil_the_response(load: str) -> None:
+    def respond(_message: Message) -> bytes:
+        early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+        head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
+        return early + head.encode("latin-1") + b"done"
+
+    endpoint = FakeEndpoint(respond)
+    async with (
+        listening(endpoint.handle) as address,
+        running_gateway(address, react=send_on) as (gateway, script),
+        HttpClient(gateway.listener) as client,
+    ):
+        for _ in range(2):
+            response = await client.ask()
+            assert (response.status, response.body) == (200, b"done")
+        assert [e.load_report for e in script.of(AttemptFinished)] == [(), ()]
+        assert endpoint.opened == 1  # the connection goes on being used
