--- a/tests/frontend/test_listener.py
+++ b/tests/frontend/test_listener.py
@@ -11,7 +11,7 @@
 from gateway.frontend import listener
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
-from tests.process.harness import async_test
+from tests.process.harness import UNREACHABLE, async_test, gateway_with_client
 from tests.support.sockets import (
     FakeEndpoint,
     HttpClient,
@@ -57,19 +57,16 @@
     monkeypatch.setattr(listener, "READ_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
-    async with (
-        running_gateway("127.0.0.1:1", react=send_on) as (gateway, policy),
-        HttpClient(gateway.listener) as client,
-    ):
+    async with gateway_with_client(UNREACHABLE) as gateway:
         began = time.monotonic()
         if sent:
-            client.writer.write(sent)
-            assert (await read_message(client.reader)).status == 408
-        assert await client.reader.read() == b""
+            gateway.client.writer.write(sent)
+            assert (await read_message(gateway.client.reader)).status == 408
+        assert await gateway.client.reader.read() == b""
         assert 0.1 <= time.monotonic() - began < 2
-        client.writer.close()
-        await until(lambda: not gateway.listener.connections)
-        assert not policy.events
+        gateway.client.writer.close()
+        await until(lambda: not gateway.process.listener.connections)
+        assert not gateway.policy.events
 
 
 @async_test
@@ -79,12 +76,9 @@
     monkeypatch.setattr(listener, "HALF_CLOSED_TIMEOUT_SECONDS", 0.1)
     monkeypatch.setattr(listener, "TIMEOUT_SWEEP_SECONDS", 0.02)
 
-    async with (
-        running_gateway("127.0.0.1:1", react=send_on) as (gateway, _),
-        HttpClient(gateway.listener) as client,
-    ):
-        assert (await client.send(b"nonsense\r\n\r\n")).status == 400
-        await until(lambda: not gateway.listener.connections)
+    async with gateway_with_client(UNREACHABLE) as gateway:
+        assert (await gateway.client.send(b"nonsense\r\n\r\n")).status == 400
+        await until(lambda: not gateway.process.listener.connections)
 
 
 # Guards clients that send requests against hundreds of connections that send nothing.
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -6,8 +6,8 @@
 
 from gateway.frontend.errors import BadRequestError, FrontendError, UnknownRequestClassError
 from gateway.frontend.request_metadata import RequestMetadata, RequestMetadataParser
-from tests.process.harness import async_test
-from tests.support.sockets import HttpClient, config, running_gateway, send_on
+from tests.process.harness import UNREACHABLE, async_test, gateway_with_client
+from tests.support.sockets import config
 
 TARGET = b"/class-0?customer=0000000000000005"
 HEADERS = {
@@ -115,14 +115,11 @@
 )  # fmt: skip
 @async_test
 async def test_call_terms_out_of_range_are_rejected(terms: str) -> None:
-    async with (
-        running_gateway("127.0.0.1:1", react=send_on, extra__most_units="2") as (gateway, policy),
-        HttpClient(gateway.listener) as client,
-    ):
-        assert (await client.ask(X_Call_Terms=terms)).status == 400
-        assert await client.reader.read() == b""
-        assert not policy.events
-        assert not gateway.listener.open_request_ids
+    async with gateway_with_client(UNREACHABLE, extra__most_units="2") as gateway:
+        assert (await gateway.client.ask(X_Call_Terms=terms)).status == 400
+        assert await gateway.client.reader.read() == b""
+        assert not gateway.policy.events
+        assert not gateway.process.listener.open_request_ids
 
 
 @pytest.mark.parametrize(
@@ -139,12 +136,9 @@
 )  # fmt: skip
 @async_test
 async def test_targets_that_could_be_read_in_two_ways_are_rejected(target: bytes) -> None:
-    async with (
-        running_gateway("127.0.0.1:1", react=send_on) as (gateway, policy),
-        HttpClient(gateway.listener) as client,
-    ):
-        good = client.request()
+    async with gateway_with_client(UNREACHABLE) as gateway:
+        good = gateway.client.request()
         bad = good.replace(b"/class-0?customer=0000000000000005", target)
         assert bad != good
-        assert (await client.send(bad)).status in (400, 404)
-        assert not policy.events
+        assert (await gateway.client.send(bad)).status in (400, 404)
+        assert not gateway.policy.events
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -3,14 +3,10 @@
 from __future__ import annotations
 
 from gateway.policy.events import Outcome
-from tests.process.harness import async_test
+from tests.process.harness import async_test, gateway_with_client
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
-    HttpClient,
-    listening,
-    running_gateway,
-    send_on,
     until,
 )
 from tests.upstream.scripts import echo_request_id
@@ -21,16 +17,12 @@
 @async_test
 async def test_a_new_endpoint_at_an_old_address_does_not_get_the_old_ones_attempts() -> None:
     endpoint = FakeEndpoint(echo_request_id)
-    async with (
-        listening(endpoint.handle) as address,
-        running_gateway(address, react=send_on) as (gateway, script),
-        HttpClient(gateway.listener) as client,
-    ):
-        assert (await client.ask()).status == 200
-        upstream = gateway.driver.upstream
+    async with gateway_with_client(endpoint) as gateway:
+        assert (await gateway.client.ask()).status == 200
+        upstream = gateway.process.driver.upstream
         upstream.set_endpoint(9, upstream.pools[FIRST].address, 0.0)
         await until(lambda: not endpoint.open)
-        assert (await client.ask()).status == 502  # still meant for the old one
-        assert script.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
+        assert (await gateway.client.ask()).status == 502  # still meant for the old one
+        assert gateway.policy.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
         assert len(endpoint.seen) == 1
         assert list(upstream.pools) == [9]
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -10,7 +10,7 @@
 import pytest
 
 from gateway.policy.events import AttemptFinished, Outcome
-from tests.process.harness import async_test
+from tests.process.harness import async_test, gateway_with_client
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
@@ -19,7 +19,6 @@
     listening,
     read_message,
     running_gateway,
-    send_on,
     until,
 )
 from tests.upstream.scripts import echo_request_id, one_at_a_time
@@ -58,13 +57,9 @@
         while True:
             writer.write(echo_request_id(await read_message(reader)))
 
-    async with (
-        listening(handle) as address,
-        running_gateway(address, react=send_on) as (gateway, _),
-        HttpClient(gateway.listener) as client,
-    ):
-        assert (await client.ask(Request_Id="one")).body == b"one"
-        (pool,) = gateway.driver.upstream.pools.values()
+    async with gateway_with_client(handle) as gateway:
+        assert (await gateway.client.ask(Request_Id="one")).body == b"one"
+        (pool,) = gateway.process.driver.upstream.pools.values()
         (connection,) = pool.idle
         assert connection.is_usable()
         # No step of the loop lies between these: the bytes are in the socket, not yet read.
@@ -72,7 +67,7 @@
         assert not connection.is_usable()
         results: list[Any] = []
         payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-        gateway.driver.upstream.start_attempt(FIRST, payload, 1.0, results.append)
+        gateway.process.driver.upstream.start_attempt(FIRST, payload, 1.0, results.append)
         await until(lambda: results)
         assert results[0].body == b"two"
 
@@ -96,16 +91,12 @@
 @async_test
 async def test_a_malformed_response_ends_its_attempt_at_once_and_may_have_run(malformed: bytes) -> None:
     endpoint = FakeEndpoint(lambda _message: malformed)
-    async with (
-        listening(endpoint.handle) as address,
-        running_gateway(address, react=send_on) as (gateway, script),
-        HttpClient(gateway.listener) as client,
-    ):
-        assert (await client.ask()).status == 502
+    async with gateway_with_client(endpoint) as gateway:
+        assert (await gateway.client.ask()).status == 502
         # Not RESET, for which the policy avoids an endpoint: one that sends malformed responses is up.
-        assert script.outcomes() == [Outcome.ERROR]
+        assert gateway.policy.outcomes() == [Outcome.ERROR]
         assert not Outcome.ERROR.never_ran
-        (finished,) = script.of(AttemptFinished)
+        (finished,) = gateway.policy.of(AttemptFinished)
         assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
         await until(lambda: not endpoint.open)
 
@@ -132,13 +123,9 @@
         writer.write(b"thing" if end == "close" else b"")
         return None
 
-    async with (
-        listening(handle) as address,
-        running_gateway(address, react=send_on) as (gateway, script),
-        HttpClient(gateway.listener) as client,
-    ):
-        response = await client.ask(2)
+    async with gateway_with_client(handle) as gateway:
+        response = await gateway.client.ask(2)
         whole = end == "close"
         assert (response.status, response.body) == ((200, b"something") if whole else (502, b""))
-        assert script.outcomes() == [Outcome.OK if whole else Outcome.RESET]
-        assert not gateway.driver.upstream.pools[FIRST].idle
+        assert gateway.policy.outcomes() == [Outcome.OK if whole else Outcome.RESET]
+        assert not gateway.process.driver.upstream.pools[FIRST].idle
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -6,8 +6,8 @@
 
 from gateway.policy.events import AttemptFinished
 from gateway.upstream.load_report import LoadReportParser
-from tests.process.harness import async_test
-from tests.support.sockets import FakeEndpoint, HttpClient, Message, listening, running_gateway, send_on
+from tests.process.harness import async_test, gateway_with_client
+from tests.support.sockets import FakeEndpoint, Message
 
 MALFORMED = [
     "TEXT util=none", "TEXT queue=1_0, util=0.5, latency_ms=3", "=,=,", "TEXT \xff\xfe", "nan",
@@ -47,13 +47,9 @@
         return early + head.encode("latin-1") + b"done"
 
     endpoint = FakeEndpoint(respond)
-    async with (
-        listening(endpoint.handle) as address,
-        running_gateway(address, react=send_on) as (gateway, script),
-        HttpClient(gateway.listener) as client,
-    ):
+    async with gateway_with_client(endpoint) as gateway:
         for _ in range(2):
-            response = await client.ask()
+            response = await gateway.client.ask()
             assert (response.status, response.body) == (200, b"done")
-        assert [e.load_report for e in script.of(AttemptFinished)] == [(), ()]
+        assert [e.load_report for e in gateway.policy.of(AttemptFinished)] == [(), ()]
         assert endpoint.opened == 1  # the connection goes on being used
