--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -175,7 +175,7 @@
             return
         if len(listener.connections) > listener.max_connections:
             exchange.keep_alive = False
-            exchange.reply(Response(503, retry_after=1.0))
+            exchange.reply(Response(UnavailableError.status, retry_after=UnavailableError.retry_after))
             return
         metadata = listener.metadata_parser.parse(request.method, request.target, request.headers)
         listener.reserve_request_id(metadata.request_id)
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -33,7 +33,7 @@
 
     def __init__(self, config: Config, driver: PolicyDriver) -> None:
         limits = config.resource_limits
-        self.settings, self.driver = config.settings, driver
+        self.driver = driver
         self.listen = config.listen
         self.max_connections, self.surplus_connections = limits.max_clients, limits.surplus_clients
         self.max_buffered_bytes = limits.max_buffered_bytes  # of bodies; beyond it requests are rejected
