--- a/gateway/open_request.py
+++ b/gateway/open_request.py
@@ -8,7 +8,7 @@
 
 from gateway.policy.events import Outcome
 from gateway.policy.settings import Limits
-from gateway.upstream.client import Attempt
+from gateway.upstream.attempt import Attempt
 
 
 @dataclass(slots=True)
--- a/gateway/policy_driver.py
+++ b/gateway/policy_driver.py
@@ -40,7 +40,8 @@
     TimerFired,
     UpdateKind,
 )
-from gateway.upstream.client import AttemptResult, UpstreamClient
+from gateway.upstream.attempt import AttemptResult
+from gateway.upstream.client import UpstreamClient
 
 __all__ = ["OpenRequest", "PolicyDriver", "Response"]
 
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -65,7 +65,7 @@
     async with gateway_with_client(endpoint) as gateway:
         response = asyncio.create_task(gateway.client.ask(2))
         await until(lambda: endpoint.seen)
-        (connection,) = gateway.process.driver.upstream.pools[FIRST].links
+        (connection,) = gateway.process.driver.upstream.pools[FIRST].connections
         if has_unsent_bytes:
             connection.pause_writing()
         connection.abort()
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -4,7 +4,9 @@
 
 from typing import Any
 
-from gateway.frontend.listener import IDLE_TIMEOUT, MOST_BODY, MOST_PIPELINED, ClientConnection
+from gateway.frontend.client_connection import MAX_PIPELINED_REQUESTS, ClientConnection
+from gateway.frontend.listener import IDLE_TIMEOUT_SECONDS
+from gateway.frontend.request_reader import MAX_BODY_BYTES
 from gateway.policy.actions import Action, Fail, Reject
 from gateway.policy.events import ClientDisconnected, Request
 from tests.support.sockets import (
@@ -22,7 +24,7 @@
 
 
 def endpoint_with_largest_body() -> FakeEndpoint:
-    return FakeEndpoint(lambda _: http_response(body=b"x" * MOST_BODY))
+    return FakeEndpoint(lambda _: http_response(body=b"x" * MAX_BODY_BYTES))
 
 
 async def request_until_not_read(
@@ -54,11 +56,11 @@
     async with gateway_with_client(endpoint_with_largest_body()) as gateway:
         reader, writer = gateway.client.reader, gateway.client.writer
         writer.write(b"".join(gateway.client.request() for _ in range(100)))
-        responses = [await read_message(reader) for _ in range(MOST_PIPELINED + 1)]
-        assert [response.status for response in responses] == [200] * MOST_PIPELINED + [503]
+        responses = [await read_message(reader) for _ in range(MAX_PIPELINED_REQUESTS + 1)]
+        assert [response.status for response in responses] == [200] * MAX_PIPELINED_REQUESTS + [503]
         assert "retry-after" in responses[-1].headers
         assert await reader.read() == b""  # the remaining bytes are not read as requests
-        assert len(gateway.policy.of(Request)) == MOST_PIPELINED
+        assert len(gateway.policy.of(Request)) == MAX_PIPELINED_REQUESTS
 
 
 @async_test
@@ -75,7 +77,7 @@
     async with gateway_with_client(UNREACHABLE, react=react) as gateway:
         client = gateway.client
         first = await client.send(client.request() + client.request())
-        assert MOST_PIPELINED >= 2
+        assert MAX_PIPELINED_REQUESTS >= 2
         assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
 
 
@@ -87,7 +89,7 @@
         gateway.client.writer.write(gateway.client.request())
         for _ in range(request_count + 1):  # once it reads, all responses come
             response = await read_message(gateway.client.reader)
-            assert (response.status, len(response.body)) == (200, MOST_BODY)
+            assert (response.status, len(response.body)) == (200, MAX_BODY_BYTES)
 
 
 @async_test
@@ -95,7 +97,7 @@
     endpoint = endpoint_with_largest_body()
     async with gateway_with_client(endpoint) as gateway:
         connection, _ = await request_until_not_read(gateway, endpoint)
-        connection.since -= IDLE_TIMEOUT
+        connection.queued_since -= IDLE_TIMEOUT_SECONDS
         await until(lambda: not gateway.process.listener.connections)
 
 
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -43,7 +43,7 @@
         upstream.timer.cancel()
         upstream.close_expired_connections()
         await until(lambda: endpoint.open == 0)
-        assert not pool.links
+        assert not pool.connections
         assert upstream.open_connections == 0
 
 
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gateway.frontend.listener import MOST_BODY, MOST_HEAD
+from gateway.frontend.request_reader import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
 from tests.support.sockets import FakeEndpoint, http_response, run
@@ -60,8 +60,8 @@
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
         (1, "Idempotency-Key", "", 400),  # its class needs a key to drop a repeat by
         (2, "Idempotency-Key", "5c0f", 400),
-        (0, "X-Pad", "x" * MOST_HEAD, 400),
-        (2, "Content-Length", str(MOST_BODY + 1), 413),
+        (0, "X-Pad", "x" * MAX_HEADER_BYTES, 400),
+        (2, "Content-Length", str(MAX_BODY_BYTES + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
