--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -330,7 +330,7 @@
     def ask(self, lease: Lease) -> None:
         """Lease a batch, unless one is in flight: further shortfalls await that one."""
         if lease.waiting:
-            return
+            return None
         need = sum(self.units(lease, job) for job in lease.waiters) - lease.credits
         # Whole units: a fraction beside them would serve nobody and expire.  No more than the store holds.
         batch = 1.0 if lease.slots else float(round(min(math.exp(lease.size), self.store(lease))))
@@ -565,7 +565,8 @@
 
     def calm(self, lease: Lease, units: float) -> bool:
         """While calls are short, who is within its local share leaves them to others; it is added with
-        the next lease.  May hurt a customer that is busy at its other gateways."""
+        the next lease.  May hurt a customer that is busy at its other gateways.
+        """
         return self.known_calm(lease) and not self.spare() and self.fits(lease, units)
 
     def known_calm(self, lease: Lease) -> bool:
@@ -576,7 +577,8 @@
     def share(self, lease: Lease, odds: float = 0.0) -> float:
         """The part of a quota to use unasked: 1/width to all, by the critical ratio of `over_cost` against
         the worth lost and by the denials of a known customer, or `odds` that an unknown one is granted;
-        1/width under a ceiling, as shares add up."""
+        1/width under a ceiling, as shares add up.
+        """
         plan = lease.plan
         ratio = 1.0 if plan.ceiling_rate else plan.over_quota_cost / (1 + plan.over_quota_cost)
         if not plan.ceiling_rate:
@@ -822,7 +824,7 @@
         lapses with its window for a held request too, or held ones would pass the ceiling together.
         """
         if job.closed:
-            return
+            return None
         for lease in job.leases if job.plan.ceiling_rate and not job.attempts else ():
             self.roll(lease)
             if not lease.slots and lease.epoch != job.window:
--- a/tests/counter/__init__.py
+++ b/tests/counter/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the counter client."""
+"""Tests of the counter's client."""
--- a/tests/discovery/__init__.py
+++ b/tests/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the discovery client."""
+"""Tests of endpoint discovery."""
--- a/tests/frontend/__init__.py
+++ b/tests/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the HTTP front end."""
+"""Tests of gateway.frontend."""
--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of a whole gateway process on loopback sockets."""
+"""Tests of the process: requests through it, its start, reload and shutdown, and its configuration."""
--- /dev/null
+++ b/tests/process/test_log_setup.py
@@ -0,0 +1,26 @@
+"""The limit on the rate of log records."""
+
+from __future__ import annotations
+
+import logging
+
+import pytest
+
+from gateway.log_setup import MAX_RECORDS_PER_SECOND, LogRateLimit
+
+RECORD = logging.LogRecord("gateway", logging.ERROR, __file__, 1, "an error", None, None)
+
+
+def test_records_of_a_second_are_limited_and_the_next_second_starts_anew(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    now = 7.0
+    monkeypatch.setattr("gateway.log_setup.time.monotonic", lambda: now)
+    limit = LogRateLimit()
+    passed = []
+    for number in range(100):
+        now = 7.0 + number / 100
+        passed.append(limit.filter(RECORD))
+    assert passed == [True] * MAX_RECORDS_PER_SECOND + [False] * (100 - MAX_RECORDS_PER_SECOND)
+    now = 8.0
+    assert limit.filter(RECORD)
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's codec and adapter."""
+"""Tests of the simulator codec and its adapter."""
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from gateway.__main__ import GatewayProcess
-from gateway.config import Config, parse
+from gateway.config import Config, parse_config
 from gateway.frontend.listener import Listener
 from gateway.policy.actions import Action, Fail, StartAttempt
 from gateway.policy.events import AttemptFinished, Event, Outcome, Request
+from gateway.process import GatewayProcess
 from tests.support.policy import BASE
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -210,7 +210,7 @@
 
 
 def config(known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str) -> Config:
-    return parse(config_text(known, counter, discovery, **changes), {})
+    return parse_config(config_text(known, counter, discovery, **changes), {})
 
 
 class HttpClient:
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -32,10 +32,13 @@
     "gateway.counter": POLICY_TYPES | CONFIGURATION | {"gateway.counter"},
     "gateway.discovery": POLICY_TYPES | CONFIGURATION | {"gateway.discovery"},
     "gateway.upstream": POLICY_TYPES | CONFIGURATION | {"gateway.upstream"},
+    "gateway.open_request": POLICY_TYPES | {"gateway.upstream"},
     "gateway.policy_driver": POLICY_TYPES
     | CONFIGURATION
-    | {"gateway.policy.engine", "gateway.counter", "gateway.upstream"},
-    "gateway.frontend": POLICY_TYPES | CONFIGURATION | {"gateway.policy_driver", "gateway.frontend"},
+    | {"gateway.policy.engine", "gateway.counter", "gateway.open_request", "gateway.upstream"},
+    "gateway.frontend": POLICY_TYPES
+    | CONFIGURATION
+    | {"gateway.policy_driver", "gateway.open_request", "gateway.frontend"},
     "gateway.log_setup": set(),
     "gateway.process": POLICY_TYPES
     | CONFIGURATION
--- a/tests/upstream/__init__.py
+++ b/tests/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the upstream client."""
+"""Tests of gateway.upstream."""
