--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the policy, one file for each module."""
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -36,8 +36,8 @@
     calls = counter.calls
     found = run_event(made, counter, START + 0.001, make_request(99))
     assert counter.calls == calls
-    (refusal,) = (a for a in found if isinstance(a, Reject))
-    assert 0 < refusal.retry_after <= 1.0
+    (rejection,) = (a for a in found if isinstance(a, Reject))
+    assert 0 < rejection.retry_after <= 1.0
 
 
 def test_denials_in_a_row_back_off_by_the_number_of_competing_gateways() -> None:
@@ -59,10 +59,12 @@
     limiter.tokens = 0.0
     limiter.tokens_at = START
     limiter.rate = 1.0
-    assert not run_event(made, counter, START, make_request(1))[0:0] and not counter.calls
+    assert not run_event(made, counter, START, make_request(1))[0:0]
+    assert not counter.calls
     assert not started_attempts(run_event(made, counter, START, TimerFired(1)))
     limiter.tokens = 5.0
-    assert started_attempts(run_event(made, counter, START + TICK_SECONDS, TimerFired(1))) and counter.calls
+    assert started_attempts(run_event(made, counter, START + TICK_SECONDS, TimerFired(1)))
+    assert counter.calls
     limiter.tokens, limiter.tokens_at, limiter.rate = (
         0.0,
         START + TICK_SECONDS,
@@ -89,11 +91,11 @@
     counter, made = FakeCounter(), make_policy()
     counter.outcome = Outcome.TIMEOUT
     admitted = sum(serve(made, counter, START + n / 10, n) for n in range(300))
-    assert 60 * 0.8 <= admitted <= 60 * 1.2  # 30 s of half the rate: width 3, over_cost 1
+    assert 60 * 0.8 <= admitted <= 60 * 1.2  # 30 s of half the rate: 3 gateways, over_cost 1
 
 
-# Guards the fleet's quotas and backends against requests of clients that left while they waited for their
-# call's turn, for a lease or for room: none is leased for or sent on, whatever comes 0.3 s later.
+# A client may disconnect while its request waits for a counter call, for a lease or for capacity: nothing is
+# leased for it or sent, whatever events come in the next 0.3 s.
 @pytest.mark.parametrize("waits_for", ["turn", "lease", "room"])
 def test_nothing_is_leased_or_sent_for_a_disconnected_client(waits_for: str) -> None:
     made, counter = make_policy(), FakeCounter()
@@ -106,34 +108,38 @@
     else:
         found = made.handle(START + 0.1, make_request(2))
     calls = [a for a in found if isinstance(a, AddToCounter)] if waits_for == "lease" else []
-    assert not started_attempts(found) and 2 in made.pending and bool(calls) == (waits_for == "lease")
+    assert not started_attempts(found)
+    assert 2 in made.pending
+    assert bool(calls) == (waits_for == "lease")
     made.handle(START + 0.15, ClientDisconnected(2))
-    assert 2 not in made.pending and not made.leases.by_customer[5, QuotaKind.RATE].waiters
+    assert 2 not in made.pending
+    assert not made.leases.by_customer[5, QuotaKind.RATE].waiters
     made.counter_rate_limiter.tokens, made.concurrency_limiter.concurrency_limit = 100.0, 10.0
     found = [action for call in calls for action in made.handle(START + 0.2, counter.answer(call))]
     found += run_event(made, counter, START + 0.2, make_finished(1, first, Outcome.OK))
     asked = counter.calls
     for step in range(8):
         found += run_event(made, counter, START + 0.2 + step * TICK_SECONDS, TimerFired(1))
-    assert not started_attempts(found) and counter.calls == asked
+    assert not started_attempts(found)
+    assert counter.calls == asked
 
 
-# Guards those within their quotas against being refused unheard where the counter bears few calls: of many
-# gateways each meets most customers for the first time.  Where leases are denied, few more are let in.
+# Of many gateways each sees most customers for the first time.  Where the counter takes few calls, customers
+# within their quotas must not all be rejected; where leases are denied, few are to be admitted.
 def test_an_unknown_customers_first_request_goes_by_the_plans_grant_ratio() -> None:
     def unasked(spent: float) -> int:
         made, counter = make_policy(peers_total="100", caps__probes="false"), SpentCounter()
         counter.by_others = spent
         for customer in range(1000, 1040):
             serve(made, counter, START + customer - 1000, customer, customer=customer, width=100)
-        made.counter_rate_limiter.failure_ratio = 1.0  # from here on nobody can be asked
+        made.counter_rate_limiter.failure_ratio = 1.0  # the counter is unavailable from here on
         return sum(serve(made, counter, START, rid, customer=rid, width=100) for rid in range(2000, 2300))
 
     assert unasked(0.0) > 2 * unasked(1e3) > 0
 
 
 def test_at_high_utilization_only_the_counter_admits_unless_it_is_unavailable() -> None:
-    """Hundreds of gateways must not each let a first request pass while the fleet is full."""
+    """Hundreds of gateways must not each admit a first request while the endpoints are overloaded."""
     made = make_policy(
         caps__may_probe="true", report__how="pull", report__columns="inflight", peers_total="300"
     )
@@ -163,10 +169,9 @@
 
 
 def test_rejections_have_retry_after_whatever_the_clients_are_said_to_do() -> None:
-    """The operators' rule: what is given up on is answered at once and told when to come back.  Settings
-    that say that clients at large do not listen must not silence it.
-    """
+    """Each rejection has a Retry-After, also where the settings say that clients at large do not heed it."""
     made, counter = make_policy(caps__retry_after="false", caps__max_retry_after_s="1.5"), FakeCounter()
     found = [a for n in range(20) for a in run_event(made, counter, START, make_request(n, plan=1))]
-    refusals = [a for a in found if isinstance(a, Reject)]
-    assert refusals and all(0 < r.retry_after <= 1.5 for r in refusals)
+    rejections = [a for a in found if isinstance(a, Reject)]
+    assert rejections
+    assert all(0 < r.retry_after <= 1.5 for r in rejections)
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -27,10 +27,11 @@
 def test_a_hanging_endpoint_leaves_the_capacity_of_the_others() -> None:
     made = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
     sent = [s for rid in range(6) for s in started_attempts(made.handle(START, make_request(rid)))]
-    for send in sent:  # all that hangs on backend 1 stays out
+    for send in sent:  # all attempts at endpoint 1 stay in flight
         if send.endpoint_id == 2:
             made.handle(START + 0.1, make_finished(send.request_id, send, Outcome.OK, closed=True))
     made.context.now = START + 1.5
     hanging = len(made.endpoints.by_id[1].in_flight)
-    assert hanging >= 1 and made.concurrency_limiter.has_capacity()
+    assert hanging >= 1
+    assert made.concurrency_limiter.has_capacity()
     assert {s.endpoint_id for s in started_attempts(made.handle(START + 1.5, make_request(99)))} == {2}
--- a/tests/policy/test_counter_rate_limiter.py
+++ b/tests/policy/test_counter_rate_limiter.py
@@ -19,7 +19,8 @@
     for rid in range(200):
         serve(made, counter, START + rid / 50, rid, customer=rid)
     low = made.counter_rate_limiter.rate
-    assert low <= 20 and counter.calls < 150
+    assert low <= 20
+    assert counter.calls < 150
     counter.outcome = Outcome.OK
     for rid in range(200):
         serve(made, counter, START + 4 + rid / 50, 1000 + rid, customer=1000 + rid)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -86,8 +86,8 @@
 )
 
 
-# Guards every choice against a list that is patched wrongly: over any changes, whole lists, duplicates,
-# unknown servers that go, requests and answers, both have the same backends, near ones and actions.
+# Over any updates, snapshots, duplicates, removals of unknown endpoints, requests and responses, the updated
+# table and the rebuilt one have the same endpoints, subsets and actions.
 @given(st.lists(STEPS, max_size=30), st.integers(0, 39), st.integers(0, 1 << 16))
 @settings(max_examples=150, deadline=None)
 def test_an_updated_table_is_the_one_made_anew(steps: list[tuple[str, object]], me: int, seed: int) -> None:
@@ -123,11 +123,13 @@
         actions, reference = (made.handle(now, event) for made in both)
         assert actions == reference
         assert seen(both[0]) == seen(both[1])
-        for send in started_attempts(actions):
-            out.append((send, both[0].pending[send.request_id].attempts_started - 1))
+        out += [
+            (send, both[0].pending[send.request_id].attempts_started - 1)
+            for send in started_attempts(actions)
+        ]
 
 
-# Guards the size to design for: a change costs what it changes.  As a ratio, for machines differ.
+# An update costs what it changes, not what the table holds.  Checked as a ratio, as machines differ.
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_an_update_costs_no_more_in_a_long_list(state: EndpointState) -> None:
     def cost(count: int) -> float:
@@ -159,13 +161,14 @@
     assert {start_request(made, rid).endpoint_id for rid in range(4)} == {2}
 
 
-# Guards against growth: backends are replaced all day, under ever new ids.
+# The table must not grow: endpoints are replaced all day, under new ids.
 def test_gone_endpoints_are_forgotten_once_nothing_is_in_flight() -> None:
     made, counter = make_policy([make_record(1)]), FakeCounter()
     (send,) = started_attempts(run_event(made, counter, START, make_request(1)))
     gone = make_record(1, state=EndpointState.GONE)
     made.handle(START + 1, EndpointUpdate(UpdateKind.DELTA, 2, (gone, make_record(2))))
-    assert set(made.endpoints.by_id) == {1, 2} and [b.record.endpoint_id for b in made.endpoints.ready] == [2]
+    assert set(made.endpoints.by_id) == {1, 2}
+    assert [b.record.endpoint_id for b in made.endpoints.ready] == [2]
     made.handle(START + 1.1, make_finished(1, send, Outcome.OK, closed=True))
     assert set(made.endpoints.by_id) == {2}
     made.handle(START + 2, EndpointUpdate(UpdateKind.DELTA, 3, (make_record(2, state=EndpointState.GONE),)))
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -36,7 +36,8 @@
     for _ in range(200):
         now += 0.1
         timers += len([a for a in made.handle(now, TimerFired(1)) if isinstance(a, SetTimer)])
-    assert timers <= 40 and not made.handle(now + 1, ClientDisconnected(1))
+    assert timers <= 40
+    assert not made.handle(now + 1, ClientDisconnected(1))
 
 
 def test_a_timer_that_fires_a_little_early_is_set_again() -> None:
@@ -98,7 +99,8 @@
         ).stdout
         for seed in ("0", "1", "777")
     }
-    assert len(outputs) == 1 and len(outputs.pop()) > 1000
+    assert len(outputs) == 1
+    assert len(outputs.pop()) > 1000
 
 
 def test_instances_share_nothing() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas over a whole fleet, in fake time: many gateways, each customer spread over some of them."""
+"""Quotas over a whole fleet, in simulated time: many gateways, each customer spread over some of them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 GATEWAYS, WIDTH, CUSTOMERS, SECONDS = 12, 6, 60, 20
 RATE, BURST = 4.0, 8.0  # of the helpers' first plan
-LATE = 0.2  # seconds after which the policy to compare with sees what was let in
+LATE = 0.2  # seconds after which the policy to compare with sees what was admitted
 
 
-class Crowded(FakeCounter):
-    """A counter that turns away what is more than it bears in a second."""
+class LimitedCounter(FakeCounter):
+    """A counter that rejects calls beyond its capacity per second."""
 
     def __init__(self, bears: int) -> None:
         super().__init__()
@@ -42,8 +42,8 @@
         return super().answer(call)
 
 
-class Store:
-    """What a customer truly has left, and what was sent on beyond it."""
+class TrueQuota:
+    """What a customer's quota truly holds, and how many requests were forwarded beyond it."""
 
     def __init__(self) -> None:
         self.level, self.at, self.beyond = BURST, START, 0
@@ -72,8 +72,8 @@
 
 
 def by_late_sight(day: list[tuple[float, int, int]]) -> tuple[int, int]:
-    """Offered inside the quotas, and let in beyond them by a policy that sees the true stores late."""
-    inside, true, seen = ([Store() for _ in range(CUSTOMERS)] for _ in range(3))
+    """Offered within the quotas, and admitted beyond them by a policy that sees the true quotas late."""
+    inside, true, seen = ([TrueQuota() for _ in range(CUSTOMERS)] for _ in range(3))
     coming: deque[tuple[float, int]] = deque()
     for now, customer, _ in day:
         while coming and coming[0][0] <= now:
@@ -83,12 +83,12 @@
         if seen[customer].fill(now) >= 1:
             true[customer].take(now)
             coming.append((now + LATE, customer))
-    return len(day) - sum(store.beyond for store in inside), sum(store.beyond for store in true)
+    return len(day) - sum(quota.beyond for quota in inside), sum(quota.beyond for quota in true)
 
 
 def by_gateways(day: list[tuple[float, int, int]], bears: int) -> tuple[int, int]:
-    """Sent on, and sent on beyond the quotas, by the gateways with a counter that bears that many calls."""
-    counter, true = Crowded(bears), [Store() for _ in range(CUSTOMERS)]
+    """Forwarded, and forwarded beyond the quotas, with a counter of that capacity."""
+    counter, true = LimitedCounter(bears), [TrueQuota() for _ in range(CUSTOMERS)]
     fleet = [
         make_policy((), n, me=str(n), peers_total=str(GATEWAYS), caps__probes="false")
         for n in range(GATEWAYS)
@@ -113,12 +113,12 @@
         for at, made in enumerate(fleet):
             if made.pending or made.leases.reclaimable:
                 act(at, now, TimerFired(1))
-    return sent, sum(store.beyond for store in true)
+    return sent, sum(quota.beyond for quota in true)
 
 
-# Guards the quotas as the fleet's: what passes beyond them costs at most a tenth of what is asked inside them
-# more than under a policy that sees the true state late, also while the counter bears few of the calls; and
-# next to nothing while it bears all.
+# Quotas hold over the fleet: requests admitted beyond them are at most a tenth of those offered within them
+# more than under a policy that sees the true state late, also while the counter takes few of the calls; and
+# next to none while it takes all.
 @pytest.mark.parametrize(("bears", "most"), [(1000, 0.03), (30, 1.0)])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_quotas_hold_for_the_fleet_on_a_quiet_day(seed: int, bears: int, most: float) -> None:
@@ -126,4 +126,4 @@
     offered, late = by_late_sight(day)
     sent, beyond = by_gateways(day, bears)
     assert beyond <= min(late + 0.1 * offered, most * offered)
-    assert sent - beyond >= 0.9 * offered  # not had by refusing what is inside them
+    assert sent - beyond >= 0.9 * offered  # not achieved by rejecting requests within the quotas
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -41,23 +41,24 @@
     st.lists(st.floats(0.0, 2.0), min_size=3, max_size=3),
 )
 def test_admitted_requests_fit_rate_and_burst(steps: list[Step], sizes: list[float]) -> None:
-    """For any arrivals and batch sizes, what is let in fits rate and burst but for what was leased ahead, a
-    burst at most, and with several gateways a burst more: what the others leased before a gateway saw a
-    customer first may be old or new.
+    """For any arrivals and batch sizes, admitted requests fit rate and burst, but for what was leased ahead.
+
+    That is a burst at most, and a burst more with several gateways: what the others leased before a gateway
+    first saw a customer may be old or new.
     """
     for count, least in ((1, -8.0), (3, -16.0)):
         counter = FakeCounter()
         gateways = [make_policy(me=str(n)) for n in range(count)]
-        now, store, at = START, 8.0, START
+        now, quota, at = START, 8.0, START
         for rid, (gap, who) in enumerate(steps):
             now += gap
             made = gateways[who % count]
             for lease in made.leases.by_customer.values():
                 lease.sizer.log_batch_size = sizes[who]
             if serve(made, counter, now, rid):
-                store = min(8.0, store + 4.0 * (now - at)) - 1.0
+                quota = min(8.0, quota + 4.0 * (now - at)) - 1.0
                 at = now
-                assert store >= least - 1e-3
+                assert quota >= least - 1e-3
 
 
 def test_a_whole_burst_is_usable_after_an_idle_window() -> None:
@@ -66,7 +67,7 @@
 
 
 def test_fractions_of_a_window_are_not_lost() -> None:
-    """A window of 1.5 units still lets in the whole rate: 1 unit a second for 60 s."""
+    """A window of 1.5 units still admits the whole rate: 1 unit a second for 60 s."""
     changes = {"tariffs__0__quota_rate": "1.0", "tariffs__0__peak_units": "3.0"}
     counter, made = FakeCounter(), make_policy(**changes)
     admitted = sum(serve(made, counter, START + rid / 10, rid) for rid in range(600))
@@ -87,7 +88,8 @@
     made = make_policy()
     (met,) = (a for a in made.handle(START, make_request(0)) if isinstance(a, AddToCounter))
     found = run_event(made, FakeCounter(), START, CounterReply(met.name, Outcome.OK, met.amount, 0.001))
-    assert met.amount == round(8.0 / 3) and {s.request_id for s in started_attempts(found)} == {0}
+    assert met.amount == round(8.0 / 3)
+    assert {s.request_id for s in started_attempts(found)} == {0}
     lease = only_lease(made)
     lease.credits = 0.0
     first = made.handle(START, make_request(1))
@@ -106,14 +108,16 @@
 
 
 def test_a_denied_lease_keeps_the_unit_that_accrues_next() -> None:
-    """What the store does not hold goes back, but for the unit that comes next: it is spent then without
-    another call, and the customer is refused until then.
+    """What the quota does not hold is returned, but for the unit that accrues next.
+
+    It is spent then without another call, and the customer is rejected until then.
     """
     counter, made = FakeCounter(), make_policy()
     admitted = sum(serve(made, counter, START, rid) for rid in range(30))
-    assert admitted == 8 and only_lease(made).quota_level(made.context.now) == pytest.approx(-1.0)
-    refused = [a for a in run_event(made, counter, START + 0.1, make_request(40)) if isinstance(a, Reject)]
-    assert [round(a.retry_after, 3) for a in refused] == [0.15]  # 4 units a second
+    assert admitted == 8
+    assert only_lease(made).quota_level(made.context.now) == pytest.approx(-1.0)
+    rejected = [a for a in run_event(made, counter, START + 0.1, make_request(40)) if isinstance(a, Reject)]
+    assert [round(a.retry_after, 3) for a in rejected] == [0.15]  # 4 units a second
     assert not serve(made, counter, START + 0.24, 41)
     calls = counter.calls
     assert serve(made, counter, START + 0.26, 42)
@@ -134,20 +138,20 @@
     for rid in range(960):
         now += rnd.expovariate(16.0)
         admitted += serve(rnd.choice(gateways), counter, now, rid)
-        for made in gateways if rid % 4 == 0 else ():  # idle credit goes back
+        for made in gateways if rid % 4 == 0 else ():  # idle credits are returned
             run_event(made, counter, now, TimerFired(1))
     quota = 4 * (now - START) + 8
     assert (0.9 if width == 100 else 0.95) * quota <= admitted <= 1.1 * quota
 
 
-# Guards against levels that drift apart: what flowed over while the store was full was seen by each alone.
+# Quota levels drifted apart where each gateway alone knew of the overflow while the quota was full.
 def test_gateways_agree_on_a_quota_that_has_overflowed() -> None:
     counter = FakeCounter()
     one, other = make_policy(me="0"), make_policy(me="1")
-    # In mid-window: 4 units a second have flowed over since its edge.
+    # In mid-window: 4 units a second have overflowed since its edge.
     assert sum(serve(one, counter, START, rid) for rid in range(20)) == 8
     assert not any(serve(other, counter, START + 0.01, rid) for rid in range(40, 60))
-    later = START + 5.0  # full again, and flowing over
+    later = START + 5.0  # full again, and overflowing
     kept = only_lease(one).credits + only_lease(other).credits
     admitted = sum(serve((one, other)[rid % 2], counter, later, rid) for rid in range(60, 100))
     assert admitted == 8 + kept
@@ -182,7 +186,8 @@
     assert serve(other, counter, edge - 0.01, 2)
     leased = only_lease(other).credits
     spent = 1 + sum(serve(one, counter, edge - 0.01, rid) for rid in range(10, 40))
-    assert leased > 0 and spent + leased == 8
+    assert leased > 0
+    assert spent + leased == 8
     now = edge + 0.01
     more = sum(serve(made, counter, now, rid) for rid in range(50, 70) for made in (one, other))
     held = lease.credits + only_lease(other).credits
@@ -199,7 +204,8 @@
     calls, (lease,) = counter.calls, made.leases.by_customer.values()
     later, made.concurrency_limiter.concurrency_limit = START + lease.window_length + 0.01, 4.0
     found = run_event(made, counter, later, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(1),)))
-    assert counter.calls == calls + 2 and not [a for a in found if isinstance(a, Fail)]
+    assert counter.calls == calls + 2
+    assert not [a for a in found if isinstance(a, Fail)]
 
 
 def test_idle_leases_are_forgotten() -> None:
@@ -228,7 +234,8 @@
     counter, one, other = FakeCounter(), make_policy(me="0"), make_policy(me="1")
     assert sum(serve(one, counter, START, rid) for rid in range(30)) == 8
     assert not serve(other, counter, START + 0.01, 40)
-    assert only_lease(one).credits == 1.0 and only_lease(other).credits == 0.0
+    assert only_lease(one).credits == 1.0
+    assert only_lease(other).credits == 0.0
 
 
 def test_the_first_lease_of_a_known_customer_takes_one_call() -> None:
@@ -237,10 +244,10 @@
     for n, made in enumerate(fleet[:8]):
         calls = counter.calls
         assert serve(made, counter, START, n, width=20)
-        assert counter.calls - calls <= (1 if n else 2)  # the first one tops the name up too
+        assert counter.calls - calls <= (1 if n else 2)  # the first one adds the overflow too
 
 
-# Guards a customer against what an answer that never came leaves on its name, until the window's edge.
+# A lost reply must not leave units in the window's total that a customer then lacks until the edge.
 @pytest.mark.parametrize("late", [{2}, {2, 3}, {4, 5, 6}, set(range(2, 30, 3))])
 def test_lost_counter_replies_leave_a_customer_its_quota(late: set[int]) -> None:
     counter = FakeCounter()
@@ -256,12 +263,12 @@
                 found += made.handle(now, make_finished(rid, action, Outcome.OK, closed=True))
         return bool(started_attempts(found))
 
-    # In mid-window, when 40 units and more have flowed over: 4 s of twice the quota.
+    # In mid-window, when 40 units and more have overflowed: 4 s of twice the quota.
     admitted = sum(ask(pair[rid % 2], START + rid / 8, rid) for rid in range(32))
     assert 20 <= admitted <= 8 + 4 * 4 + 2 * 3
 
 
-# Guards against a gateway that dies before it has taken off again what it put on a name in error.
+# A gateway may die before it corrects what it added to a total in error.
 def test_a_total_above_what_leases_can_take_is_corrected() -> None:
     counter, made = FakeCounter(), make_policy()
     assert serve(made, counter, START, 1)
@@ -286,18 +293,18 @@
 def test_the_ceiling_holds_while_the_counter_fails_and_loses_its_totals(steps: list[Step], lost: int) -> None:
     counter = FakeCounter()
     gateways = [make_policy(me=str(n)) for n in range(3)]
-    now, store, at = START, 16.0, START
+    now, quota, at = START, 16.0, START
     for rid, (gap, who) in enumerate(steps):
         if rid == lost:
             counter.lose()
         counter.outcome = Outcome.TIMEOUT if lost / 2 <= rid < lost else Outcome.OK
         now += gap
         if serve(gateways[who], counter, now, rid, plan=1):
-            store, at = min(16.0, store + 8.0 * (now - at)) - 1.0, now
-            assert store >= -1.6
+            quota, at = min(16.0, quota + 8.0 * (now - at)) - 1.0, now
+            assert quota >= -1.6
 
 
-# Guards against growth by customers that come once, and against losing a lease that is in use.
+# The table must not grow by customers that come once, nor lose a lease that is in use.
 def test_leases_of_customers_that_do_not_return_are_forgotten() -> None:
     made, counter = make_policy(), FakeCounter()
     (held,) = started_attempts(run_event(made, counter, START, make_request(1, customer=1)))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -32,15 +32,15 @@
 )
 
 COLD_SHARE, WARM_UP = 0.2, 10.0  # the helpers' rules
-COUNT = 40  # backends
-SLOTS = 4  # requests that a backend works on at once
-QUEUE = 1.0  # seconds of work beyond which it turns requests away
+COUNT = 40  # endpoints
+SLOTS = 4  # requests that an endpoint works on at once
+QUEUE = 1.0  # seconds of work beyond which it rejects requests
 STARTED, KILLED, BACK, END = START + 10.0, START + 13.0, START + 14.0, START + 24.0
 
 
 @dataclass
-class Backends:
-    """What has reached each backend: a cold one falls when it gets more than its budget and chance allow."""
+class FakeEndpoints:
+    """What has reached each endpoint: one in slow start fails beyond its budget and what chance allows."""
 
     cold: set[int]
     capacity: float  # requests a second that a warm one carries
@@ -49,24 +49,24 @@
     random: random.Random
     seen: dict[int, deque[float]] = field(default_factory=dict)
     busy: dict[int, list[float]] = field(default_factory=dict)  # until when each slot is
-    closest: float = math.inf  # requests that were left to the nearest fall
+    closest: float = math.inf  # requests that were left before the nearest failure
 
-    def share(self, backend: int, now: float) -> float:
-        if backend not in self.cold or now < STARTED:
+    def share(self, endpoint: int, now: float) -> float:
+        if endpoint not in self.cold or now < STARTED:
             return 1.0
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (now - STARTED) / WARM_UP)
 
-    def take(self, backend: int, now: float) -> tuple[float, Outcome]:
-        """When it will have answered, and how."""
-        share = self.share(backend, now)
+    def take(self, endpoint: int, now: float) -> tuple[float, Outcome]:
+        """When it will have responded, and how."""
+        share = self.share(endpoint, now)
         if share < 1:
-            seen = self.seen.setdefault(backend, deque())
+            seen = self.seen.setdefault(endpoint, deque())
             seen.append(now)
             while seen[0] <= now - self.fall_time:
                 seen.popleft()
-            budget = self.fall_multiple * self.capacity * self.fall_time * self.share(backend, seen[0])
+            budget = self.fall_multiple * self.capacity * self.fall_time * self.share(endpoint, seen[0])
             self.closest = min(self.closest, budget + 2 * math.sqrt(budget) + 2 - len(seen))
-        busy = self.busy.setdefault(backend, [0.0] * SLOTS)
+        busy = self.busy.setdefault(endpoint, [0.0] * SLOTS)
         begins = max(now, busy[0])
         if begins - now > QUEUE:
             return now + 0.001, Outcome.OVERLOADED
@@ -90,7 +90,7 @@
             "rules__fall_s": str(fall_time),
         }
         self.cold = set(self.random.sample(range(1, COUNT + 1), int(0.6 * COUNT)))
-        self.backends = Backends(self.cold, capacity, fall_multiple, fall_time, self.random)
+        self.endpoints = FakeEndpoints(self.cold, capacity, fall_multiple, fall_time, self.random)
         self.victims = self.random.sample(range(peers), int(killed * peers))
         self.weights = [self.random.lognormvariate(0.0, 0.8) for _ in range(peers)]
         self.made = [self.make(n, START) for n in range(peers)]
@@ -111,7 +111,7 @@
     def act(self, at: int, now: float, event: Event) -> None:
         for send in started_attempts(self.made[at].handle(now, event)):
             self.sent += 1
-            ends, outcome = self.backends.take(send.endpoint_id, now)
+            ends, outcome = self.endpoints.take(send.endpoint_id, now)
             attempt = self.made[at].pending[send.request_id].attempts_started - 1
             told = make_finished(send.request_id, send, outcome, attempt, closed=outcome is Outcome.OK)
             heapq.heappush(self.ending, (ends, self.sent, at, told, self.made[at]))
@@ -152,9 +152,9 @@
             self.act(at, now, make_request(rid))
 
 
-# Guards the term that cold backends fall under the sum of what all processes send: the ramp holds for the
-# fleet while six in ten are cold at once, in a burst, with uneven shares, and with seven in ten of the
-# processes killed in the middle of it; for backends that carry much, and for such that carry little.
+# Endpoints in slow start fail under the sum of what all gateways send.  They hold while six in ten warm up
+# at once, in a burst, with uneven loads, and with seven in ten gateways killed in the middle of it; for
+# endpoints of much and of little capacity.
 @pytest.mark.parametrize("killed", [0.0, 0.7])
 @pytest.mark.parametrize("carries", [(10.0, 2.0, 2.0), (1.5, 3.0, 1.0)])
 @pytest.mark.parametrize("peers", [20, 30])
@@ -164,8 +164,8 @@
 ) -> None:
     fleet = Fleet(seed, peers, killed, *carries)
     fleet.play(0.7 * carries[0] * COUNT, 3.0)
-    assert fleet.backends.closest > 0  # closest seen: 1.3 requests, in the second kind
-    assert any(fleet.backends.seen.values())  # not had by sending them nothing
+    assert fleet.endpoints.closest > 0  # closest seen: 1.3 requests, in the second kind
+    assert any(fleet.endpoints.seen.values())  # not achieved by sending them nothing
 
 
 def test_an_endpoint_in_slow_start_gets_its_part_of_the_budget_only() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -87,8 +87,8 @@
     assert send.endpoint_id not in used
 
 
-# Guards a request against costing what the whole list does, and the choice against changing with that: each
-# list of candidates is the one that a walk through all backends gives.
+# A request must not cost what the whole list does, and the choice must not change by that: each list of
+# candidates is the one that a walk through all endpoints gives.
 @given(
     st.lists(st.tuples(st.integers(1, 60), st.sampled_from(EndpointState), st.booleans()), max_size=30),
     st.integers(0, 39),
@@ -131,7 +131,7 @@
     looked = 0
 
     class Watched(EndpointRecord):
-        """An entry that tells when a choice looks at it."""
+        """A record that counts the looks at it."""
 
         def __getattribute__(self, name: str) -> Any:
             nonlocal looked
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -1,4 +1,4 @@
-"""Settings and a small counter for driving gateways in tests."""
+"""Settings, records and a fake counter for driving policies in tests."""
 
 from __future__ import annotations
 
@@ -67,15 +67,15 @@
 
 
 def text(**changes: str) -> str:
-    """The settings message, with keys changed (dots written as double underscores)."""
+    """The settings text, with keys changed (dots written as double underscores)."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
 
 def make_record(
-    backend: int, *, cell: int = 0, started: float = 0.0, state: EndpointState = EndpointState.READY
+    endpoint: int, *, cell: int = 0, started: float = 0.0, state: EndpointState = EndpointState.READY
 ) -> EndpointRecord:
-    return EndpointRecord(backend, 0, started, state, 0, cell, 1.0)
+    return EndpointRecord(endpoint, 0, started, state, 0, cell, 1.0)
 
 
 def make_request(
@@ -95,8 +95,9 @@
 
 
 class FakeCounter:
-    """A shared counter as the deployments run it; `lose` forgets everything.  While it is `late` it adds, and
-    its answers come too late.
+    """A shared counter as the deployments run it; `lose` forgets all totals.
+
+    While it is `late` it adds, and its replies time out.
     """
 
     def __init__(self) -> None:
@@ -118,9 +119,9 @@
         return CounterReply(call.name, Outcome.OK, self.totals[call.name], 0.001)
 
 
-def make_policy(backends: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
+def make_policy(endpoints: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
     made = Policy(parse_settings(text(**changes)), seed)
-    listed = tuple(backends) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
+    listed = tuple(endpoints) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
     made.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
     return made
 
@@ -138,7 +139,7 @@
 
 
 def serve(made: Policy, counter: FakeCounter, now: float, rid: int, **kind: int) -> bool:
-    """One request, answered at once if it was sent; tells whether it was."""
+    """One request, served at once if an attempt was started; whether it was."""
     sent = started_attempts(run_event(made, counter, now, make_request(rid, **kind)))
     for send in sent:
         run_event(made, counter, now, make_finished(rid, send, Outcome.OK, closed=True))
