--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -18,10 +18,11 @@
     """Takes a credit of each of a request's leases before it is dispatched."""
 
     def __init__(
-        self, context: Context, leases: LeaseTable, limiter: CounterRateLimiter, load: ConcurrencyLimiter,
+        self, context: Context, leases: LeaseTable, rate_limiter: CounterRateLimiter,
+        limiter: ConcurrencyLimiter,
         dispatch: Callable[[PendingRequest], None], reject: Callable[[PendingRequest, float], None],
     ) -> None:  # fmt: skip
-        self.context, self.leases, self.rate_limiter, self.load = context, leases, limiter, load
+        self.context, self.leases, self.rate_limiter, self.limiter = context, leases, rate_limiter, limiter
         self.dispatch, self.reject = dispatch, reject
         self.deferred: dict[LeaseKey, Lease] = {}  # have waiters, but no call may be made yet
 
@@ -87,14 +88,14 @@
         now, fraction = self.context.now, self.local_quota_fraction(lease)
         rate, burst = lease.plan.rate, lease.plan.burst
         if lease.kind is QuotaKind.CONCURRENCY:  # as many a second as there are slots in a latency
-            rate, burst = lease.window_limit / self.load.mean_latency, lease.window_limit
+            rate, burst = lease.window_limit / self.limiter.mean_latency, lease.window_limit
         accrued = lease.local_tokens + (now - lease.local_tokens_at) * fraction * rate
         lease.local_tokens, lease.local_tokens_at = min(max(1.0, fraction * burst), accrued), now
         return lease.local_tokens
 
     def within_local_quota(self, lease: Lease, units: float) -> bool:
         """Whether local tokens cover this; at high utilization only if the counter is unavailable."""
-        if not self.rate_limiter.is_unavailable and self.load.utilization() > MAX_LOCAL_UTILIZATION:
+        if not self.rate_limiter.is_unavailable and self.limiter.utilization() > MAX_LOCAL_UTILIZATION:
             return False
         return self._refill(lease) + EPSILON >= units
 
--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -36,9 +36,9 @@
         silent = sum(1 for _ in takewhile(silent_since.__gt__, self.endpoints.started_at.values()))
         return self.endpoints.in_flight - silent < mean + DEVIATIONS * math.sqrt(mean)
 
-    def record_outcome(self, *, late: bool, representative: bool) -> None:
-        """Adapt the limit; one bad endpoint's outcomes are not representative of the others."""
-        if representative:
+    def record_outcome(self, *, late: bool, typical: bool) -> None:
+        """Adapt the limit; an outlier's outcomes are not typical and say nothing of the others."""
+        if typical:
             self.late_ratio += LATENCY_WEIGHT / 2 * (late - self.late_ratio)
         ready_count, gateway_count = len(self.endpoints.ready), self.context.gateway_count
         if self.late_ratio < MAX_LATE_RATIO:
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -32,11 +32,11 @@
         self.counter_rate_limiter = rate_limiter = CounterRateLimiter(context)
         self.slow_start = SlowStart(context)
         self.endpoints = endpoints = EndpointTable(context, self.slow_start)
-        self.concurrency_limiter = load = ConcurrencyLimiter(context, endpoints)
-        self.load_balancer = LoadBalancer(context, endpoints, self.slow_start, load)
+        self.concurrency_limiter = limiter = ConcurrencyLimiter(context, endpoints)
+        self.load_balancer = LoadBalancer(context, endpoints, self.slow_start, limiter)
         self.leases = LeaseTable(context, rate_limiter)
-        self.admission = Admission(context, self.leases, rate_limiter, load, self._dispatch, self._reject)
-        self.retries = Retries(context, endpoints, load, self.load_balancer, self._start_attempt)
+        self.admission = Admission(context, self.leases, rate_limiter, limiter, self._dispatch, self._reject)
+        self.retries = Retries(context, endpoints, limiter, self.load_balancer, self._start_attempt)
         self.pending: dict[int, PendingRequest] = {}
         self.queue: list[PendingRequest] = []  # admitted, without an endpoint that has capacity
         self.requests_in_flight, self.timer_at, self.reclaim_at = 0, -math.inf, 0.0
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -20,9 +20,9 @@
     """Chooses endpoints, and keeps what their outcomes say of each."""
 
     def __init__(
-        self, context: Context, endpoints: EndpointTable, slow_start: SlowStart, load: ConcurrencyLimiter
+        self, context: Context, endpoints: EndpointTable, slow_start: SlowStart, limiter: ConcurrencyLimiter
     ) -> None:
-        self.context, self.endpoints, self.slow_start, self.load = context, endpoints, slow_start, load
+        self.context, self.endpoints, self.slow_start, self.limiter = context, endpoints, slow_start, limiter
         settings, has_load = context.settings, not LOAD_COLUMNS.isdisjoint(context.settings.report_columns)
         may_probe = settings.limits.may_probe and settings.report_mode == "pull" and has_load
         self.next_probe_at = 0.0 if may_probe else math.inf
@@ -30,7 +30,7 @@
     def choose(self, pending: PendingRequest, allowed: list[Endpoint]) -> Endpoint | None:
         """The best allowed endpoint of the subset, else of a few warm others; None without capacity."""
         table = self.endpoints
-        if not self.load.has_capacity():
+        if not self.limiter.has_capacity():
             return None
         if len(table.subset) >= len(table.ready):
             return self.best_of(pending, allowed)
@@ -40,12 +40,11 @@
         near, candidates = {e.record.endpoint_id for e in table.subset}, table.subset
         if allowed is not table.ready:
             candidates = [e for e in allowed if e.record.endpoint_id in near]
-        best = self.best_of(pending, candidates)
-        if best is None:  # one in slow start has enough gateways whose subset it is in
-            fraction = self.slow_start.slow_start_fraction
-            others = [e for e in allowed if e.record.endpoint_id not in near and fraction(e) >= 1]
-            best = self.best_of(pending, others)
-        return best
+        if best := self.best_of(pending, candidates):
+            return best
+        fraction = self.slow_start.slow_start_fraction  # one in slow start is in enough gateways' subsets
+        others = [e for e in allowed if e.record.endpoint_id not in near and fraction(e) >= 1]
+        return self.best_of(pending, others)
 
     def best_of(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
         """The candidate with the least expected latency under its load, of those that have capacity."""
@@ -53,8 +52,8 @@
         if len(candidates) > MAX_CANDIDATES:
             candidates = random.sample(candidates, MAX_CANDIDATES)
         subset_size, ready_count = len(self.endpoints.subset), len(self.endpoints.ready)
-        limit = 2 * self.load.concurrency_limit * ready_count / max(1, subset_size)
-        fast_latency = 1.5 * self.load.mean_latency
+        limit = 2 * self.limiter.concurrency_limit * ready_count / max(1, subset_size)
+        fast_latency = 1.5 * self.limiter.mean_latency
         class_index, recently_tried = pending.request.class_index, pending.tried_endpoints[-2:]
         has_budget, best, best_score = self.slow_start.has_slow_start_budget, None, math.inf
         for endpoint in candidates:
@@ -65,7 +64,7 @@
                 continue
             if fraction < 1 and not has_budget(endpoint, subset_size, ready_count):
                 continue
-            queued = in_flight + 1 + REPORT_WEIGHT * self.load.estimated_load(endpoint)
+            queued = in_flight + 1 + REPORT_WEIGHT * self.limiter.estimated_load(endpoint)
             if now - endpoint.silent_classes.get(class_index, -math.inf) < 2 * DECAY_SECONDS:
                 queued *= EJECTION_FACTOR
             score = expected * queued * (1 + random.random() / 20)
@@ -75,7 +74,7 @@
 
     def expected_latency(self, endpoint: Endpoint, slow_start_fraction: float) -> float:
         """At least as long as an endpoint has been silent; an outlier's latency fades to the mean."""
-        now, mean = self.context.now, self.load.mean_latency
+        now, mean = self.context.now, self.limiter.mean_latency
         oldest = next(iter(endpoint.in_flight.values()), now)
         fade = math.exp((endpoint.last_outcome_at - now) / DECAY_SECONDS)
         latency = min(endpoint.latency, mean + max(0.0, endpoint.latency - mean) * fade)
@@ -85,24 +84,24 @@
         """Keep what an attempt's outcome says of its endpoint, and of the load of all."""
         if event.outcome in (Outcome.CANCELLED, Outcome.NOT_STARTED):
             return
-        endpoint, now, load = attempt.endpoint, self.context.now, self.load
+        endpoint, now, limiter = attempt.endpoint, self.context.now, self.limiter
         latency, late, endpoint.last_outcome_at = now - attempt.started_at, False, now
         if event.load_report:
-            load.record_load_report(endpoint, event.load_report)
+            limiter.record_load_report(endpoint, event.load_report)
         if event.outcome is not Outcome.OK:
-            latency, late = max(latency, 2 * load.mean_latency), True
+            latency, late = max(latency, 2 * limiter.mean_latency), True
         elif pending:
             class_index = pending.request.class_index
             endpoint.silent_classes.pop(class_index, None)
             endpoint.last_response_at = endpoint.last_response_by_class[class_index] = now
-            load.record_response(endpoint, class_index, latency)
+            limiter.record_response(endpoint, class_index, latency)
             late = latency > TARGET_FRACTION * pending.request_class.latency_objective
         endpoint.latency += LATENCY_WEIGHT * (latency - endpoint.latency)
         if event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             # It is down, whatever the list says: avoided at once, tried again as this fades.
-            endpoint.latency = max(endpoint.latency, EJECTION_FACTOR * load.mean_latency)
-        healthy = endpoint.latency < OUTLIER_FACTOR * load.mean_latency
-        load.record_outcome(late=late, representative=healthy and event.outcome is not Outcome.CONNECT_FAILED)
+            endpoint.latency = max(endpoint.latency, EJECTION_FACTOR * limiter.mean_latency)
+        healthy = endpoint.latency < OUTLIER_FACTOR * limiter.mean_latency
+        limiter.record_outcome(late=late, typical=healthy and event.outcome is not Outcome.CONNECT_FAILED)
 
     def probe(self) -> None:
         """Ask a random endpoint for its load, as often as keeps a pool of reports recent."""
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -22,11 +22,12 @@
     """Decides on further attempts; the engine starts them."""
 
     def __init__(
-        self, context: Context, endpoints: EndpointTable, load: ConcurrencyLimiter,
+        self, context: Context, endpoints: EndpointTable, limiter: ConcurrencyLimiter,
         load_balancer: LoadBalancer, start_attempt: Callable[[PendingRequest, Endpoint], None],
     ) -> None:  # fmt: skip
-        self.context, self.endpoints, self.load, self.load_balancer = context, endpoints, load, load_balancer
-        self.start_attempt, self.limits, self.budget = start_attempt, context.settings.limits, 1.0
+        self.context, self.endpoints, self.limiter = context, endpoints, limiter
+        self.load_balancer, self.start_attempt = load_balancer, start_attempt
+        self.limits, self.budget = context.settings.limits, 1.0
 
     def record_first_attempt(self) -> None:
         """Earn a part of an attempt in place of a stalled one."""
@@ -78,7 +79,7 @@
 
     def _is_stalled(self, pending: PendingRequest, attempt: Attempt) -> bool:
         now, class_index, endpoint = self.context.now, pending.request.class_index, attempt.endpoint
-        latency = self.load.class_latency[class_index]
+        latency = self.limiter.class_latency[class_index]
         # Any class's response hides that another gets none: silence is judged by endpoint and class.
         last_response_at = endpoint.last_response_by_class.get(class_index, 0.0)
         silent = now - max(attempt.started_at, last_response_at) >= SILENT_LATENCIES * latency
