--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -68,9 +68,9 @@
         self.subset_expires_at = math.inf if all(warm) else self.context.now + DECAY_SECONDS / 4
 
 
-def seen(made: Policy) -> tuple[object, ...]:
+def seen(policy: Policy) -> tuple[object, ...]:
     """What the choice of an endpoint rests on."""
-    table = made.endpoints
+    table = policy.endpoints
     states = {number: (e.state, len(e.in_flight), e.slow_start_tokens) for number, e in table.by_id.items()}
     return [e.record for e in table.ready], [e.record for e in table.subset], table.in_flight, states
 
@@ -96,7 +96,7 @@
         rebuilding = Policy(told, seed)
     both = (Policy(told, seed), rebuilding)
     first = EndpointUpdate(UpdateKind.CACHED, 1, tuple(make_record(n, cell=n % 3) for n in range(1, 41)))
-    now, rid = START, 0
+    now, request_id = START, 0
     out: list[tuple[StartAttempt, int]] = []
     for version, (kind, what) in enumerate([("list", None), *steps], 1):
         now += 0.4
@@ -112,15 +112,15 @@
             )
         elif kind == "request":
             assert isinstance(what, int)
-            rid += 1
-            event = make_request(rid, cls=what)
+            request_id += 1
+            event = make_request(request_id, cls=what)
         elif kind == "answer":
             if not out:
                 continue
             assert isinstance(what, Outcome)
             sent, attempt = out.pop(0)
             event = make_finished(sent.request_id, sent, what, attempt, closed=what is Outcome.OK)
-        actions, reference = (made.handle(now, event) for made in both)
+        actions, reference = (policy.handle(now, event) for policy in both)
         assert actions == reference
         assert seen(both[0]) == seen(both[1])
         out += [
@@ -134,14 +134,14 @@
 def test_an_update_costs_no_more_in_a_long_list(state: EndpointState) -> None:
     def cost(count: int) -> float:
         listed = [make_record(n, cell=n % 490) for n in range(1, count + 1)]
-        made = Policy(parse_settings(text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1)
-        made.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, tuple(listed)))
+        policy = Policy(parse_settings(text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1)
+        policy.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, tuple(listed)))
         took = []
         for n in range(1, 61):
             for told in (make_record(n, cell=n % 490, state=state), listed[n - 1]):
                 event = EndpointUpdate(UpdateKind.DELTA, 1 + n, (told,))
                 began = time.process_time()
-                made.handle(START, event)
+                policy.handle(START, event)
                 took.append(time.process_time() - began)
         return sorted(took)[len(took) // 2]
 
@@ -150,26 +150,26 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_draining_endpoints_get_nothing_new(state: EndpointState) -> None:
-    made = make_policy([make_record(1), make_record(2)])
-    made.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, (make_record(1, state=state),)))
-    assert {start_request(made, rid).endpoint_id for rid in range(4)} == {2}
+    policy = make_policy([make_record(1), make_record(2)])
+    policy.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, (make_record(1, state=state),)))
+    assert {start_request(policy, request_id).endpoint_id for request_id in range(4)} == {2}
 
 
 def test_endpoints_missing_from_a_snapshot_are_gone() -> None:
-    made = make_policy([make_record(1), make_record(2)])
-    made.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(2),)))
-    assert {start_request(made, rid).endpoint_id for rid in range(4)} == {2}
+    policy = make_policy([make_record(1), make_record(2)])
+    policy.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(2),)))
+    assert {start_request(policy, request_id).endpoint_id for request_id in range(4)} == {2}
 
 
 # The table must not grow: endpoints are replaced all day, under new ids.
 def test_gone_endpoints_are_forgotten_once_nothing_is_in_flight() -> None:
-    made, counter = make_policy([make_record(1)]), FakeCounter()
-    (send,) = started_attempts(run_event(made, counter, START, make_request(1)))
+    policy, counter = make_policy([make_record(1)]), FakeCounter()
+    (send,) = started_attempts(run_event(policy, counter, START, make_request(1)))
     gone = make_record(1, state=EndpointState.GONE)
-    made.handle(START + 1, EndpointUpdate(UpdateKind.DELTA, 2, (gone, make_record(2))))
-    assert set(made.endpoints.by_id) == {1, 2}
-    assert [b.record.endpoint_id for b in made.endpoints.ready] == [2]
-    made.handle(START + 1.1, make_finished(1, send, Outcome.OK, closed=True))
-    assert set(made.endpoints.by_id) == {2}
-    made.handle(START + 2, EndpointUpdate(UpdateKind.DELTA, 3, (make_record(2, state=EndpointState.GONE),)))
-    assert not made.endpoints.by_id
+    policy.handle(START + 1, EndpointUpdate(UpdateKind.DELTA, 2, (gone, make_record(2))))
+    assert set(policy.endpoints.by_id) == {1, 2}
+    assert [b.record.endpoint_id for b in policy.endpoints.ready] == [2]
+    policy.handle(START + 1.1, make_finished(1, send, Outcome.OK, closed=True))
+    assert set(policy.endpoints.by_id) == {2}
+    policy.handle(START + 2, EndpointUpdate(UpdateKind.DELTA, 3, (make_record(2, state=EndpointState.GONE),)))
+    assert not policy.endpoints.by_id
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -30,48 +30,48 @@
 
 
 def test_an_idle_gateway_sets_no_timer() -> None:
-    counter, made = FakeCounter(), make_policy()
-    serve(made, counter, START, 1)
+    counter, policy = FakeCounter(), make_policy()
+    serve(policy, counter, START, 1)
     timers, now = 0, START
     for _ in range(200):
         now += 0.1
-        timers += len([a for a in made.handle(now, TimerFired(1)) if isinstance(a, SetTimer)])
+        timers += len([a for a in policy.handle(now, TimerFired(1)) if isinstance(a, SetTimer)])
     assert timers <= 40
-    assert not made.handle(now + 1, ClientDisconnected(1))
+    assert not policy.handle(now + 1, ClientDisconnected(1))
 
 
 def test_a_timer_that_fires_a_little_early_is_set_again() -> None:
-    made = make_policy()
-    (timer,) = (a for a in made.handle(START, make_request(1)) if isinstance(a, SetTimer))
-    assert [a for a in made.handle(timer.at - 1e-7, TimerFired(1)) if isinstance(a, SetTimer)]
+    policy = make_policy()
+    (timer,) = (a for a in policy.handle(START, make_request(1)) if isinstance(a, SetTimer))
+    assert [a for a in policy.handle(timer.at - 1e-7, TimerFired(1)) if isinstance(a, SetTimer)]
 
 
 def test_every_waiting_request_ends_in_time() -> None:
-    made = make_policy()
-    made.handle(START, make_request(1, left=0.3))  # its lease is never answered
+    policy = make_policy()
+    policy.handle(START, make_request(1, time_remaining=0.3))  # its lease is never answered
     ended: list[Action] = []
     for n in range(1, 13):
-        ended += made.handle(START + n * TICK_SECONDS, TimerFired(1))
+        ended += policy.handle(START + n * TICK_SECONDS, TimerFired(1))
     assert [a for a in ended if isinstance(a, Reject)] == [Reject(1, INITIAL_LATENCY_SECONDS)]
 
 
 def test_a_timeout_at_the_deadline_is_answered_as_failed() -> None:
-    made = make_policy()
-    sent = start_request(made, 1, cls=2)
-    assert Fail(1) in made.handle(START + 4.0, make_finished(1, sent, Outcome.TIMEOUT))
+    policy = make_policy()
+    sent = start_request(policy, 1, cls=2)
+    assert Fail(1) in policy.handle(START + 4.0, make_finished(1, sent, Outcome.TIMEOUT))
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
-    made = make_policy()
-    sent = start_request(made, 1)
-    made.handle(START + 0.1, make_finished(1, sent, Outcome.OK, closed=True))
+    policy = make_policy()
+    sent = start_request(policy, 1)
+    policy.handle(START + 0.1, make_finished(1, sent, Outcome.OK, closed=True))
     for event in (
         make_finished(1, sent, Outcome.OK, closed=True), ClientDisconnected(1), ClientDisconnected(1),
         ClientDisconnected(77), TimerFired(12345),
         CounterReply(99, Outcome.OK, 1.0, 0.1), AttemptStarted(1, 0, 1, 0.1), PeerMessage(1, b"x"),
         ProbeFinished(1, Outcome.OK, 0.1, ()), AttemptFinished(5, 0, 999, Outcome.OK, True, 0.1, 0, 0, ()),
     ):  # fmt: skip
-        assert not [a for a in made.handle(START + 0.2, event) if not isinstance(a, SetTimer)]
+        assert not [a for a in policy.handle(START + 0.2, event) if not isinstance(a, SetTimer)]
 
 
 SCRIPT = """
@@ -106,6 +106,6 @@
 def test_instances_share_nothing() -> None:
     alone = make_policy((), 4)
     one, other = make_policy((), 4), make_policy((), 5)
-    for rid in range(50):
-        other.handle(START, make_request(rid))
-        assert one.handle(START, make_request(rid)) == alone.handle(START, make_request(rid))
+    for request_id in range(50):
+        other.handle(START, make_request(request_id))
+        assert one.handle(START, make_request(request_id)) == alone.handle(START, make_request(request_id))
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -102,16 +102,16 @@
             sent += 1
             act(at, now, make_finished(send.request_id, send, Outcome.OK, closed=True))
 
-    rid = 0
+    request_id = 0
     for step in range(int(SECONDS / TICK_SECONDS)):
         now = START + (step + 1) * TICK_SECONDS
         counter.look(now)
-        while rid < len(day) and day[rid][0] < now:
-            _, customer, at = day[rid]
-            act(at, day[rid][0], make_request(rid, customer=customer, width=WIDTH))
-            rid += 1
-        for at, made in enumerate(fleet):
-            if made.pending or made.leases.reclaimable:
+        while request_id < len(day) and day[request_id][0] < now:
+            _, customer, at = day[request_id]
+            act(at, day[request_id][0], make_request(request_id, customer=customer, gateway_set_size=WIDTH))
+            request_id += 1
+        for at, policy in enumerate(fleet):
+            if policy.pending or policy.leases.reclaimable:
                 act(at, now, TimerFired(1))
     return sent, sum(quota.beyond for quota in true)
 
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -50,61 +50,63 @@
         counter = FakeCounter()
         gateways = [make_policy(me=str(n)) for n in range(count)]
         now, quota, at = START, 8.0, START
-        for rid, (gap, who) in enumerate(steps):
+        for request_id, (gap, who) in enumerate(steps):
             now += gap
-            made = gateways[who % count]
-            for lease in made.leases.by_customer.values():
+            policy = gateways[who % count]
+            for lease in policy.leases.by_customer.values():
                 lease.sizer.log_batch_size = sizes[who]
-            if serve(made, counter, now, rid):
+            if serve(policy, counter, now, request_id):
                 quota = min(8.0, quota + 4.0 * (now - at)) - 1.0
                 at = now
                 assert quota >= least - 1e-3
 
 
 def test_a_whole_burst_is_usable_after_an_idle_window() -> None:
-    counter, made = FakeCounter(), make_policy()
-    assert sum(serve(made, counter, START + 9.0, rid) for rid in range(20)) >= 7
+    counter, policy = FakeCounter(), make_policy()
+    assert sum(serve(policy, counter, START + 9.0, request_id) for request_id in range(20)) >= 7
 
 
 def test_fractions_of_a_window_are_not_lost() -> None:
     """A window of 1.5 units still admits the whole rate: 1 unit a second for 60 s."""
     changes = {"tariffs__0__quota_rate": "1.0", "tariffs__0__peak_units": "3.0"}
-    counter, made = FakeCounter(), make_policy(**changes)
-    admitted = sum(serve(made, counter, START + rid / 10, rid) for rid in range(600))
+    counter, policy = FakeCounter(), make_policy(**changes)
+    admitted = sum(serve(policy, counter, START + request_id / 10, request_id) for request_id in range(600))
     assert 57 <= admitted <= 64
 
 
 def test_credits_expire_at_the_windows_edge() -> None:
-    counter, made = FakeCounter(), make_policy()
-    serve(made, counter, START, 1)
-    lease = only_lease(made)
+    counter, policy = FakeCounter(), make_policy()
+    serve(policy, counter, START, 1)
+    lease = only_lease(policy)
     lease.credits = 3.0
-    made.context.now = START + lease.window_length
-    lease.roll_window(made.context.now)
+    policy.context.now = START + lease.window_length
+    lease.roll_window(policy.context.now)
     assert lease.credits == 0.0
 
 
 def test_further_requests_wait_for_the_lease_in_flight() -> None:
-    made = make_policy()
-    (met,) = (a for a in made.handle(START, make_request(0)) if isinstance(a, AddToCounter))
-    found = run_event(made, FakeCounter(), START, CounterReply(met.name, Outcome.OK, met.amount, 0.001))
+    policy = make_policy()
+    (met,) = (a for a in policy.handle(START, make_request(0)) if isinstance(a, AddToCounter))
+    found = run_event(policy, FakeCounter(), START, CounterReply(met.name, Outcome.OK, met.amount, 0.001))
     assert met.amount == round(8.0 / 3)
     assert {s.request_id for s in started_attempts(found)} == {0}
-    lease = only_lease(made)
+    lease = only_lease(policy)
     lease.credits = 0.0
-    first = made.handle(START, make_request(1))
-    second = made.handle(START, make_request(2))
+    first = policy.handle(START, make_request(1))
+    second = policy.handle(START, make_request(2))
     assert len([a for a in first if isinstance(a, AddToCounter)]) == 1
     assert not [a for a in second if isinstance(a, AddToCounter | StartAttempt)]
     (call,) = (a for a in first if isinstance(a, AddToCounter))
-    answered = run_event(made, FakeCounter(), START, CounterReply(call.name, Outcome.OK, call.amount, 0.001))
+    answered = run_event(
+        policy, FakeCounter(), START, CounterReply(call.name, Outcome.OK, call.amount, 0.001)
+    )
     assert {s.request_id for s in started_attempts(answered)} == {1, 2}
 
 
 def test_the_first_lease_is_the_gateways_part_of_the_window() -> None:
-    made = make_policy()
-    run_event(made, FakeCounter(), START, make_request(1))
-    assert only_lease(made).credits + 1 == round(8.0 / 3)
+    policy = make_policy()
+    run_event(policy, FakeCounter(), START, make_request(1))
+    assert only_lease(policy).credits + 1 == round(8.0 / 3)
 
 
 def test_a_denied_lease_keeps_the_unit_that_accrues_next() -> None:
@@ -112,21 +114,21 @@
 
     It is spent then without another call, and the customer is rejected until then.
     """
-    counter, made = FakeCounter(), make_policy()
-    admitted = sum(serve(made, counter, START, rid) for rid in range(30))
+    counter, policy = FakeCounter(), make_policy()
+    admitted = sum(serve(policy, counter, START, request_id) for request_id in range(30))
     assert admitted == 8
-    assert only_lease(made).quota_level(made.context.now) == pytest.approx(-1.0)
-    rejected = [a for a in run_event(made, counter, START + 0.1, make_request(40)) if isinstance(a, Reject)]
+    assert only_lease(policy).quota_level(policy.context.now) == pytest.approx(-1.0)
+    rejected = [a for a in run_event(policy, counter, START + 0.1, make_request(40)) if isinstance(a, Reject)]
     assert [round(a.retry_after, 3) for a in rejected] == [0.15]  # 4 units a second
-    assert not serve(made, counter, START + 0.24, 41)
+    assert not serve(policy, counter, START + 0.24, 41)
     calls = counter.calls
-    assert serve(made, counter, START + 0.26, 42)
+    assert serve(policy, counter, START + 0.26, 42)
     assert counter.calls == calls
-    assert not serve(made, counter, START + 0.3, 43)  # leased, but 0.8 of a unit is missing
-    assert only_lease(made).quota_level(made.context.now) == pytest.approx(8 + 0.3 * 4 - 10)
+    assert not serve(policy, counter, START + 0.3, 43)  # leased, but 0.8 of a unit is missing
+    assert only_lease(policy).quota_level(policy.context.now) == pytest.approx(8 + 0.3 * 4 - 10)
     calls = counter.calls
-    assert not serve(made, counter, START + 0.49, 44)
-    assert serve(made, counter, START + 0.51, 45)
+    assert not serve(policy, counter, START + 0.49, 44)
+    assert serve(policy, counter, START + 0.51, 45)
     assert counter.calls == calls
 
 
@@ -135,11 +137,11 @@
     """Four times the quota: nearly all of it and hardly more, however long ago each saw the customer."""
     counter, gateways = FakeCounter(), [make_policy(me=str(n), peers_total=str(width)) for n in range(width)]
     rnd, now, admitted = random.Random(3), START, 0
-    for rid in range(960):
+    for request_id in range(960):
         now += rnd.expovariate(16.0)
-        admitted += serve(rnd.choice(gateways), counter, now, rid)
-        for made in gateways if rid % 4 == 0 else ():  # idle credits are returned
-            run_event(made, counter, now, TimerFired(1))
+        admitted += serve(rnd.choice(gateways), counter, now, request_id)
+        for policy in gateways if request_id % 4 == 0 else ():  # idle credits are returned
+            run_event(policy, counter, now, TimerFired(1))
     quota = 4 * (now - START) + 8
     assert (0.9 if width == 100 else 0.95) * quota <= admitted <= 1.1 * quota
 
@@ -149,15 +151,17 @@
     counter = FakeCounter()
     one, other = make_policy(me="0"), make_policy(me="1")
     # In mid-window: 4 units a second have overflowed since its edge.
-    assert sum(serve(one, counter, START, rid) for rid in range(20)) == 8
-    assert not any(serve(other, counter, START + 0.01, rid) for rid in range(40, 60))
+    assert sum(serve(one, counter, START, request_id) for request_id in range(20)) == 8
+    assert not any(serve(other, counter, START + 0.01, request_id) for request_id in range(40, 60))
     later = START + 5.0  # full again, and overflowing
     kept = only_lease(one).credits + only_lease(other).credits
-    admitted = sum(serve((one, other)[rid % 2], counter, later, rid) for rid in range(60, 100))
+    admitted = sum(
+        serve((one, other)[request_id % 2], counter, later, request_id) for request_id in range(60, 100)
+    )
     assert admitted == 8 + kept
-    for made in (one, other):
-        serve(made, counter, later + 0.01, 100)
-    reserved = [only_lease(made).credits for made in (one, other)]
+    for policy in (one, other):
+        serve(policy, counter, later + 0.01, 100)
+    reserved = [only_lease(policy).credits for policy in (one, other)]
     assert reserved == [1.0, 1.0]  # of the units to come; `one` asked last and has seen both
     assert only_lease(one).quota_level(one.context.now) + sum(reserved) == pytest.approx(0.04)
 
@@ -165,13 +169,13 @@
 def test_two_gateways_that_lease_at_once_correct_the_overflow_once() -> None:
     counter = FakeCounter()
     pair = [make_policy(me=str(n)) for n in range(2)]
-    calls = [(made, made.handle(START, make_request(n))) for n, made in enumerate(pair)]
+    calls = [(policy, policy.handle(START, make_request(n))) for n, policy in enumerate(pair)]
     while any(isinstance(a, AddToCounter) for _, found in calls for a in found):
         # Each round both gateways' calls reach the counter before either hears of the other's.
         answers = [(m, counter.answer(a)) for m, found in calls for a in found if isinstance(a, AddToCounter)]
-        calls = [(made, made.handle(START, answer)) for made, answer in answers]
-    assert [only_lease(made).credits for made in pair] == [2.0, 2.0]
-    assert min(only_lease(made).quota_level(made.context.now) for made in pair) == pytest.approx(
+        calls = [(policy, policy.handle(START, answer)) for policy, answer in answers]
+    assert [only_lease(policy).credits for policy in pair] == [2.0, 2.0]
+    assert min(only_lease(policy).quota_level(policy.context.now) for policy in pair) == pytest.approx(
         8.0 - 2 * 3.0
     )
 
@@ -185,35 +189,37 @@
     lease.credits = 0.0
     assert serve(other, counter, edge - 0.01, 2)
     leased = only_lease(other).credits
-    spent = 1 + sum(serve(one, counter, edge - 0.01, rid) for rid in range(10, 40))
+    spent = 1 + sum(serve(one, counter, edge - 0.01, request_id) for request_id in range(10, 40))
     assert leased > 0
     assert spent + leased == 8
     now = edge + 0.01
-    more = sum(serve(made, counter, now, rid) for rid in range(50, 70) for made in (one, other))
+    more = sum(
+        serve(policy, counter, now, request_id) for request_id in range(50, 70) for policy in (one, other)
+    )
     held = lease.credits + only_lease(other).credits
     assert 1 <= more <= leased
     assert only_lease(other).quota_level(other.context.now) + held + more == pytest.approx(leased + 0.02 * 4)
 
 
 def test_a_queued_requests_credit_under_a_ceiling_expires_with_its_window() -> None:
-    counter, made = FakeCounter(), make_policy()
-    made.concurrency_limiter.late_ratio, made.concurrency_limiter.concurrency_limit = 1.0, 0.0
-    made.endpoints.by_id.clear()
-    made.endpoints.ready.clear()
-    run_event(made, counter, START, make_request(1, plan=1))
-    calls, (lease,) = counter.calls, made.leases.by_customer.values()
-    later, made.concurrency_limiter.concurrency_limit = START + lease.window_length + 0.01, 4.0
-    found = run_event(made, counter, later, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(1),)))
+    counter, policy = FakeCounter(), make_policy()
+    policy.concurrency_limiter.late_ratio, policy.concurrency_limiter.concurrency_limit = 1.0, 0.0
+    policy.endpoints.by_id.clear()
+    policy.endpoints.ready.clear()
+    run_event(policy, counter, START, make_request(1, plan=1))
+    calls, (lease,) = counter.calls, policy.leases.by_customer.values()
+    later, policy.concurrency_limiter.concurrency_limit = START + lease.window_length + 0.01, 4.0
+    found = run_event(policy, counter, later, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(1),)))
     assert counter.calls == calls + 2
     assert not [a for a in found if isinstance(a, Fail)]
 
 
 def test_idle_leases_are_forgotten() -> None:
-    counter, made = FakeCounter(), make_policy()
-    serve(made, counter, START, 1)
-    made.context.now = START + MAX_IDLE_SECONDS + 1
-    made.leases.reclaim_idle_credits()
-    assert not made.leases.by_customer
+    counter, policy = FakeCounter(), make_policy()
+    serve(policy, counter, START, 1)
+    policy.context.now = START + MAX_IDLE_SECONDS + 1
+    policy.leases.reclaim_idle_credits()
+    assert not policy.leases.by_customer
 
 
 def test_hashes_are_stable_and_distinct() -> None:
@@ -222,17 +228,20 @@
 
 
 def test_slots_limit_concurrency_and_are_returned() -> None:
-    counter, made = FakeCounter(), make_policy()
-    sent = [started_attempts(run_event(made, counter, START, make_request(rid, plan=2))) for rid in range(3)]
+    counter, policy = FakeCounter(), make_policy()
+    sent = [
+        started_attempts(run_event(policy, counter, START, make_request(request_id, plan=2)))
+        for request_id in range(3)
+    ]
     assert [len(s) for s in sent] == [1, 1, 0]
-    run_event(made, counter, START + 0.1, make_finished(0, sent[0][0], Outcome.OK, closed=True))
+    run_event(policy, counter, START + 0.1, make_finished(0, sent[0][0], Outcome.OK, closed=True))
     assert sum(counter.totals.values()) == pytest.approx(1.0)
-    assert started_attempts(run_event(made, counter, START + 1.0, make_request(9, plan=2)))
+    assert started_attempts(run_event(policy, counter, START + 1.0, make_request(9, plan=2)))
 
 
 def test_an_infrequent_customers_next_unit_is_not_leased_ahead() -> None:
     counter, one, other = FakeCounter(), make_policy(me="0"), make_policy(me="1")
-    assert sum(serve(one, counter, START, rid) for rid in range(30)) == 8
+    assert sum(serve(one, counter, START, request_id) for request_id in range(30)) == 8
     assert not serve(other, counter, START + 0.01, 40)
     assert only_lease(one).credits == 1.0
     assert only_lease(other).credits == 0.0
@@ -241,9 +250,9 @@
 def test_the_first_lease_of_a_known_customer_takes_one_call() -> None:
     counter = FakeCounter()
     fleet = [make_policy(me=str(n), peers_total="20") for n in range(20)]
-    for n, made in enumerate(fleet[:8]):
+    for n, policy in enumerate(fleet[:8]):
         calls = counter.calls
-        assert serve(made, counter, START, n, width=20)
+        assert serve(policy, counter, START, n, gateway_set_size=20)
         assert counter.calls - calls <= (1 if n else 2)  # the first one adds the overflow too
 
 
@@ -253,36 +262,36 @@
     counter = FakeCounter()
     pair = [make_policy(me=str(n)) for n in range(2)]
 
-    def ask(made: Policy, now: float, rid: int) -> bool:
-        found = made.handle(now, make_request(rid))
+    def ask(policy: Policy, now: float, request_id: int) -> bool:
+        found = policy.handle(now, make_request(request_id))
         for action in found:
             if isinstance(action, AddToCounter):
                 counter.late = counter.calls + 1 in late
-                found += made.handle(now, counter.answer(action))
+                found += policy.handle(now, counter.answer(action))
             elif isinstance(action, StartAttempt):
-                found += made.handle(now, make_finished(rid, action, Outcome.OK, closed=True))
+                found += policy.handle(now, make_finished(request_id, action, Outcome.OK, closed=True))
         return bool(started_attempts(found))
 
     # In mid-window, when 40 units and more have overflowed: 4 s of twice the quota.
-    admitted = sum(ask(pair[rid % 2], START + rid / 8, rid) for rid in range(32))
+    admitted = sum(ask(pair[request_id % 2], START + request_id / 8, request_id) for request_id in range(32))
     assert 20 <= admitted <= 8 + 4 * 4 + 2 * 3
 
 
 # A gateway may die before it corrects what it added to a total in error.
 def test_a_total_above_what_leases_can_take_is_corrected() -> None:
-    counter, made = FakeCounter(), make_policy()
-    assert serve(made, counter, START, 1)
+    counter, policy = FakeCounter(), make_policy()
+    assert serve(policy, counter, START, 1)
     for name in counter.totals:
         counter.totals[name] += 60.0
-    admitted = sum(serve(made, counter, START + rid / 8, rid) for rid in range(8, 40))
+    admitted = sum(serve(policy, counter, START + request_id / 8, request_id) for request_id in range(8, 40))
     assert 12 <= admitted <= 24
 
 
 def test_a_counter_that_lost_its_totals_gets_back_what_this_gateway_added() -> None:
-    counter, made = FakeCounter(), make_policy()
-    before = sum(serve(made, counter, START, rid) for rid in range(3))
+    counter, policy = FakeCounter(), make_policy()
+    before = sum(serve(policy, counter, START, request_id) for request_id in range(3))
     counter.lose()
-    more = sum(serve(made, counter, START + 0.01, 10 + rid) for rid in range(20))
+    more = sum(serve(policy, counter, START + 0.01, 10 + request_id) for request_id in range(20))
     assert before + more <= 9.5
 
 
@@ -294,29 +303,29 @@
     counter = FakeCounter()
     gateways = [make_policy(me=str(n)) for n in range(3)]
     now, quota, at = START, 16.0, START
-    for rid, (gap, who) in enumerate(steps):
-        if rid == lost:
+    for request_id, (gap, who) in enumerate(steps):
+        if request_id == lost:
             counter.lose()
-        counter.outcome = Outcome.TIMEOUT if lost / 2 <= rid < lost else Outcome.OK
+        counter.outcome = Outcome.TIMEOUT if lost / 2 <= request_id < lost else Outcome.OK
         now += gap
-        if serve(gateways[who], counter, now, rid, plan=1):
+        if serve(gateways[who], counter, now, request_id, plan=1):
             quota, at = min(16.0, quota + 8.0 * (now - at)) - 1.0, now
             assert quota >= -1.6
 
 
 # The table must not grow by customers that come once, nor lose a lease that is in use.
 def test_leases_of_customers_that_do_not_return_are_forgotten() -> None:
-    made, counter = make_policy(), FakeCounter()
-    (held,) = started_attempts(run_event(made, counter, START, make_request(1, customer=1)))
+    policy, counter = make_policy(), FakeCounter()
+    (held,) = started_attempts(run_event(policy, counter, START, make_request(1, customer=1)))
     for number in range(2, 40):
         (send,) = started_attempts(
-            run_event(made, counter, START + number, make_request(number, customer=number))
+            run_event(policy, counter, START + number, make_request(number, customer=number))
         )
-        run_event(made, counter, START + number, make_finished(number, send, Outcome.OK, closed=True))
+        run_event(policy, counter, START + number, make_finished(number, send, Outcome.OK, closed=True))
     for _ in range(3):
-        run_event(made, counter, START + 60, TimerFired(1))
-        made.reclaim_at = 0.0
-    assert {customer for customer, _ in made.leases.by_customer} == {1, *range(30, 40)}
-    made.handle(START + 61, make_finished(1, held, Outcome.OK, closed=True))
-    made.handle(START + 200, TimerFired(1))
-    assert not made.leases.by_customer
+        run_event(policy, counter, START + 60, TimerFired(1))
+        policy.reclaim_at = 0.0
+    assert {customer for customer, _ in policy.leases.by_customer} == {1, *range(30, 40)}
+    policy.handle(START + 61, make_finished(1, held, Outcome.OK, closed=True))
+    policy.handle(START + 200, TimerFired(1))
+    assert not policy.leases.by_customer
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -24,54 +24,56 @@
 )
 
 
-def expected_latency(made: Policy, endpoint: Endpoint) -> float:
-    return made.load_balancer.expected_latency(endpoint, made.slow_start.slow_start_fraction(endpoint))
+def expected_latency(policy: Policy, endpoint: Endpoint) -> float:
+    return policy.load_balancer.expected_latency(endpoint, policy.slow_start.slow_start_fraction(endpoint))
 
 
 def test_an_endpoint_without_a_report_counts_as_busier_than_the_mean() -> None:
-    made = make_policy(caps__may_probe="true", report__how="pull", report__columns="queue,util,inflight")
-    (probe,) = (a for a in made.handle(START, make_request(1)) if isinstance(a, Probe))
-    for endpoint in made.endpoints.by_id:
-        made.handle(START, ProbeFinished(endpoint, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
-    made.handle(START, ProbeFinished(probe.endpoint_id, Outcome.OK, 0.01, ()))
-    silent = made.concurrency_limiter.estimated_load(made.endpoints.by_id[probe.endpoint_id])
-    assert all(silent > made.concurrency_limiter.estimated_load(b) - 0.5 for b in made.endpoints.ready)
-    assert silent > 1 + made.concurrency_limiter.mean_load
+    policy = make_policy(caps__may_probe="true", report__how="pull", report__columns="queue,util,inflight")
+    (probe,) = (a for a in policy.handle(START, make_request(1)) if isinstance(a, Probe))
+    for endpoint in policy.endpoints.by_id:
+        policy.handle(START, ProbeFinished(endpoint, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
+    policy.handle(START, ProbeFinished(probe.endpoint_id, Outcome.OK, 0.01, ()))
+    silent = policy.concurrency_limiter.estimated_load(policy.endpoints.by_id[probe.endpoint_id])
+    assert all(silent > policy.concurrency_limiter.estimated_load(b) - 0.5 for b in policy.endpoints.ready)
+    assert silent > 1 + policy.concurrency_limiter.mean_load
 
 
 @pytest.mark.parametrize(("columns", "asks"), [("latency_ms", False), ("latency_ms,inflight", True)])
 def test_probes_are_sent_only_for_reports_that_have_a_load(columns: str, asks: bool) -> None:
-    made = make_policy(caps__may_probe="true", report__how="pull", report__columns=columns)
+    policy = make_policy(caps__may_probe="true", report__how="pull", report__columns=columns)
     found = [
         a
-        for rid in range(20)
-        for a in run_event(made, FakeCounter(), START + rid, make_request(rid, customer=rid))
+        for request_id in range(20)
+        for a in run_event(
+            policy, FakeCounter(), START + request_id, make_request(request_id, customer=request_id)
+        )
     ]
     assert any(isinstance(a, Probe) for a in found) == asks
 
 
 def test_a_failed_connection_ejects_an_endpoint_until_its_latency_fades() -> None:
-    made = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
-    (sent,) = started_attempts(made.handle(START, make_request(1)))
-    made.handle(START + 0.25, make_finished(1, sent, Outcome.CONNECT_FAILED))
-    endpoint = made.endpoints.by_id[sent.endpoint_id]
-    at_once = expected_latency(made, endpoint)
-    made.context.now = START + 30
-    assert at_once > 5 * made.concurrency_limiter.mean_latency
-    assert expected_latency(made, endpoint) < 1.1 * made.concurrency_limiter.mean_latency
-    assert made.concurrency_limiter.concurrency_limit == pytest.approx(12 / 3)
+    policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
+    (sent,) = started_attempts(policy.handle(START, make_request(1)))
+    policy.handle(START + 0.25, make_finished(1, sent, Outcome.CONNECT_FAILED))
+    endpoint = policy.endpoints.by_id[sent.endpoint_id]
+    at_once = expected_latency(policy, endpoint)
+    policy.context.now = START + 30
+    assert at_once > 5 * policy.concurrency_limiter.mean_latency
+    assert expected_latency(policy, endpoint) < 1.1 * policy.concurrency_limiter.mean_latency
+    assert policy.concurrency_limiter.concurrency_limit == pytest.approx(12 / 3)
 
 
 def test_an_endpoint_silent_for_one_class_is_the_last_choice_for_that_class_only() -> None:
     """It still responds to other classes, so its last response says nothing of this one."""
-    made = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
-    (sent,) = started_attempts(made.handle(START, make_request(1)))
-    silent = made.endpoints.by_id[sent.endpoint_id]
-    made.handle(START + 2.0, TimerFired(1))
+    policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
+    (sent,) = started_attempts(policy.handle(START, make_request(1)))
+    silent = policy.endpoints.by_id[sent.endpoint_id]
+    policy.handle(START + 2.0, TimerFired(1))
     silent.last_response_at = silent.last_outcome_at = START + 2.0
     assert 0 in silent.silent_classes
     assert 1 not in silent.silent_classes
-    (again,) = started_attempts(made.handle(START + 2.5, make_request(2)))
+    (again,) = started_attempts(policy.handle(START + 2.5, make_request(2)))
     assert again.endpoint_id != sent.endpoint_id
-    made.handle(START + 2.6, make_finished(1, sent, Outcome.OK, closed=True))
+    policy.handle(START + 2.6, make_finished(1, sent, Outcome.OK, closed=True))
     assert not silent.silent_classes
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -93,7 +93,7 @@
         self.endpoints = FakeEndpoints(self.cold, capacity, fall_multiple, fall_time, self.random)
         self.victims = self.random.sample(range(peers), int(killed * peers))
         self.weights = [self.random.lognormvariate(0.0, 0.8) for _ in range(peers)]
-        self.made = [self.make(n, START) for n in range(peers)]
+        self.policies = [self.make(n, START) for n in range(peers)]
         self.down: set[int] = set()
         self.ending: list[tuple[float, int, int, AttemptFinished, Policy]] = []
         self.served = self.sent = 0
@@ -109,23 +109,23 @@
         return make_policy(self.members(now), self.random.getrandbits(32), me=str(me), **self.settings)
 
     def act(self, at: int, now: float, event: Event) -> None:
-        for send in started_attempts(self.made[at].handle(now, event)):
+        for send in started_attempts(self.policies[at].handle(now, event)):
             self.sent += 1
             ends, outcome = self.endpoints.take(send.endpoint_id, now)
-            attempt = self.made[at].pending[send.request_id].attempts_started - 1
+            attempt = self.policies[at].pending[send.request_id].attempts_started - 1
             told = make_finished(send.request_id, send, outcome, attempt, closed=outcome is Outcome.OK)
-            heapq.heappush(self.ending, (ends, self.sent, at, told, self.made[at]))
+            heapq.heappush(self.ending, (ends, self.sent, at, told, self.policies[at]))
 
     def end(self, now: float) -> None:
         while self.ending and self.ending[0][0] <= now:
-            ends, _, at, told, made = heapq.heappop(self.ending)
-            if made is self.made[at] and at not in self.down:
+            ends, _, at, told, policy = heapq.heappop(self.ending)
+            if policy is self.policies[at] and at not in self.down:
                 self.served += told.outcome is Outcome.OK
                 self.act(at, ends, told)
 
     def play(self, rate: float, burst: float) -> None:
         """`rate` requests a second, `burst` times as many from the start of the cold ones for 5 s on."""
-        now, rid, tick = START, 0, START
+        now, request_id, tick = START, 0, START
         told = killed = back = False
         while now < END:
             now += self.random.expovariate(rate * (burst if STARTED <= now < STARTED + 5 else 1.0))
@@ -133,7 +133,9 @@
                 tick += TICK_SECONDS
                 self.end(tick)
                 for at in range(self.peers):
-                    if at not in self.down and (self.made[at].pending or self.made[at].leases.reclaimable):
+                    if at not in self.down and (
+                        self.policies[at].pending or self.policies[at].leases.reclaimable
+                    ):
                         self.act(at, tick, TimerFired(1))
             if now >= STARTED and not told:
                 told = True
@@ -144,12 +146,12 @@
             if now >= BACK and not back:
                 back, self.down = True, set()
                 for at in self.victims:
-                    self.made[at] = self.make(at, now)
+                    self.policies[at] = self.make(at, now)
             self.end(now)
             alive = [at for at in range(self.peers) if at not in self.down]
             (at,) = self.random.choices(alive, [self.weights[n] for n in alive])
-            rid += 1
-            self.act(at, now, make_request(rid))
+            request_id += 1
+            self.act(at, now, make_request(request_id))
 
 
 # Endpoints in slow start fail under the sum of what all gateways send.  They hold while six in ten warm up
@@ -169,16 +171,16 @@
 
 
 def test_an_endpoint_in_slow_start_gets_its_part_of_the_budget_only() -> None:
-    made = make_policy(
+    policy = make_policy(
         [make_record(1), make_record(2), make_record(3, started=START)], tariffs__0__quota_rate="0"
     )
     cold, out = 0, deque[tuple[int, StartAttempt]]()
-    for rid in range(100):
-        now = START + 0.5 + rid / 50
-        for sent in started_attempts(made.handle(now, make_request(rid))):
+    for request_id in range(100):
+        now = START + 0.5 + request_id / 50
+        for sent in started_attempts(policy.handle(now, make_request(request_id))):
             cold += sent.endpoint_id == 3
-            out.append((rid, sent))
+            out.append((request_id, sent))
         if len(out) > 9:
             first, sent = out.popleft()
-            made.handle(now, make_finished(first, sent, Outcome.OK, closed=True))
+            policy.handle(now, make_finished(first, sent, Outcome.OK, closed=True))
     assert 1 <= cold <= 0.3 * 100 / 2
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -69,21 +69,23 @@
 
 def test_a_gateway_of_many_uses_few_endpoints_and_others_when_those_are_gone() -> None:
     fleet = [make_record(n) for n in range(1, 61)]
-    made = make_policy(fleet, peers_total="40", me="7")
+    policy = make_policy(fleet, peers_total="40", me="7")
     counter, used = FakeCounter(), set()
-    for rid in range(200):
-        (send,) = started_attempts(run_event(made, counter, START + rid, make_request(rid, customer=rid)))
+    for request_id in range(200):
+        (send,) = started_attempts(
+            run_event(policy, counter, START + request_id, make_request(request_id, customer=request_id))
+        )
         used.add(send.endpoint_id)
         run_event(
-            made,
+            policy,
             counter,
-            START + rid + 0.1,
-            AttemptFinished(rid, 0, send.endpoint_id, Outcome.OK, True, 0.1, 0, 0, ()),
+            START + request_id + 0.1,
+            AttemptFinished(request_id, 0, send.endpoint_id, Outcome.OK, True, 0.1, 0, 0, ()),
         )
     assert len(used) <= MIN_SUBSET_SIZE
     gone = tuple(make_record(n, state=EndpointState.GONE) for n in used)
-    made.handle(START + 300, EndpointUpdate(UpdateKind.DELTA, 2, gone))
-    (send,) = started_attempts(run_event(made, counter, START + 300, make_request(999, customer=999)))
+    policy.handle(START + 300, EndpointUpdate(UpdateKind.DELTA, 2, gone))
+    (send,) = started_attempts(run_event(policy, counter, START + 300, make_request(999, customer=999)))
     assert send.endpoint_id not in used
 
 
@@ -99,32 +101,32 @@
     changes: list[tuple[int, EndpointState, bool]], me: int, seed: int
 ) -> None:
     listed = [make_record(n, cell=n % 3) for n in range(1, 41)]
-    made = make_policy(listed, seed, me=str(me), peers_total="40", tariffs__0__quota_rate="0")
+    policy = make_policy(listed, seed, me=str(me), peers_total="40", tariffs__0__quota_rate="0")
     for version, (number, state, cold) in enumerate(changes, 2):
         told = make_record(number, cell=number % 3, state=state, started=START if cold else 0.0)
-        made.handle(START, EndpointUpdate(UpdateKind.DELTA, version, (told,)))
+        policy.handle(START, EndpointUpdate(UpdateKind.DELTA, version, (told,)))
     looked: list[list[int]] = []
-    best = made.load_balancer.best_of
+    best = policy.load_balancer.best_of
 
     def recorded(pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
-        near = {b.record.endpoint_id for b in made.endpoints.subset}
-        if len(made.endpoints.subset) < len(made.endpoints.ready):
-            allowed = made.retries.allowed_endpoints(pending)
-            fraction = made.slow_start.slow_start_fraction
+        near = {b.record.endpoint_id for b in policy.endpoints.subset}
+        if len(policy.endpoints.subset) < len(policy.endpoints.ready):
+            allowed = policy.retries.allowed_endpoints(pending)
+            fraction = policy.slow_start.slow_start_fraction
             others = [b for b in allowed if b.record.endpoint_id not in near and fraction(b) >= 1]
             walk = others if looked else [b for b in allowed if b.record.endpoint_id in near]
             assert [b.record.endpoint_id for b in candidates] == [b.record.endpoint_id for b in walk]
         looked.append([b.record.endpoint_id for b in candidates])
         return best(pending, candidates)
 
-    made.load_balancer.best_of = recorded  # type: ignore[method-assign]
-    for rid in range(10):
+    policy.load_balancer.best_of = recorded  # type: ignore[method-assign]
+    for request_id in range(10):
         looked.clear()
-        found = made.handle(START + rid, make_request(rid, cls=rid % 2))
+        found = policy.handle(START + request_id, make_request(request_id, cls=request_id % 2))
         assert bool(started_attempts(found)) <= bool(looked)
         for send in started_attempts(found):
             looked.clear()
-            made.handle(START + rid, make_finished(rid, send, Outcome.RESET))
+            policy.handle(START + request_id, make_finished(request_id, send, Outcome.RESET))
 
 
 def test_a_request_does_not_look_at_endpoints_outside_the_subset() -> None:
@@ -139,7 +141,7 @@
             return super().__getattribute__(name)
 
     listed = [Watched(n, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for n in range(1, 2001)]
-    made = make_policy(listed, 1, peers_total="2000", tariffs__0__quota_rate="0")
+    policy = make_policy(listed, 1, peers_total="2000", tariffs__0__quota_rate="0")
     looked = 0
-    assert started_attempts(made.handle(START, make_request(1)))
+    assert started_attempts(policy.handle(START, make_request(1)))
     assert 0 < looked < 100
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -79,15 +79,21 @@
 
 
 def make_request(
-    rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0, width: int = 3
+    request_id: int,
+    *,
+    cls: int = 0,
+    plan: int = 0,
+    customer: int = 5,
+    time_remaining: float = 4.0,
+    gateway_set_size: int = 3,
 ) -> Request:
-    return Request(rid, cls, plan, customer, left, 1.0, width, 0, False, False)
+    return Request(request_id, cls, plan, customer, time_remaining, 1.0, gateway_set_size, 0, False, False)
 
 
 def make_finished(
-    rid: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
+    request_id: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
 ) -> AttemptFinished:
-    return AttemptFinished(rid, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
+    return AttemptFinished(request_id, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
 
 
 def started_attempts(actions: Iterable[Action]) -> list[StartAttempt]:
@@ -120,41 +126,43 @@
 
 
 def make_policy(endpoints: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
-    made = Policy(parse_settings(text(**changes)), seed)
+    policy = Policy(parse_settings(text(**changes)), seed)
     listed = tuple(endpoints) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
-    made.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
-    return made
+    policy.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
+    return policy
 
 
-def run_event(made: Policy, counter: FakeCounter, now: float, event: Event) -> list[Action]:
+def run_event(policy: Policy, counter: FakeCounter, now: float, event: Event) -> list[Action]:
     """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
-    found = made.handle(now, event)
+    found = policy.handle(now, event)
     at = 0
     while at < len(found):
         action = found[at]
         at += 1
         if isinstance(action, AddToCounter):
-            found = found + made.handle(now, counter.answer(action))
+            found = found + policy.handle(now, counter.answer(action))
     return found
 
 
-def serve(made: Policy, counter: FakeCounter, now: float, rid: int, **kind: int) -> bool:
+def serve(policy: Policy, counter: FakeCounter, now: float, request_id: int, **kind: int) -> bool:
     """One request, served at once if an attempt was started; whether it was."""
-    sent = started_attempts(run_event(made, counter, now, make_request(rid, **kind)))
+    sent = started_attempts(run_event(policy, counter, now, make_request(request_id, **kind)))
     for send in sent:
-        run_event(made, counter, now, make_finished(rid, send, Outcome.OK, closed=True))
+        run_event(policy, counter, now, make_finished(request_id, send, Outcome.OK, closed=True))
     return bool(sent)
 
 
-def start_request(made: Policy, rid: int, **kind: int) -> StartAttempt:
+def start_request(policy: Policy, request_id: int, **kind: int) -> StartAttempt:
     """The first attempt of a new customer's request, which stays in flight."""
-    (sent,) = started_attempts(run_event(made, FakeCounter(), START, make_request(rid, customer=rid, **kind)))
+    (sent,) = started_attempts(
+        run_event(policy, FakeCounter(), START, make_request(request_id, customer=request_id, **kind))
+    )
     return sent
 
 
-def only_lease(made: Policy) -> Lease:
+def only_lease(policy: Policy) -> Lease:
     """The lease of a gateway that has one."""
-    (lease,) = made.leases.by_customer.values()
+    (lease,) = policy.leases.by_customer.values()
     return lease
 
 
