--- /dev/null
+++ b/tests/policy/test_concurrency_limiter.py
@@ -0,0 +1,39 @@
+"""Load shedding and the limit of attempts in flight."""
+
+from __future__ import annotations
+
+from gateway.policy.events import (
+    Outcome,
+    ProbeFinished,
+)
+from tests.support.policy import (
+    START,
+    make_finished,
+    make_policy,
+    make_record,
+    make_request,
+    started_attempts,
+)
+
+
+def test_reported_load_sheds_by_chance_before_latencies_rise() -> None:
+    policy = make_policy(caps__may_probe="true", report__how="pull", report__columns="inflight")
+    assert all(policy.concurrency_limiter.has_capacity() for _ in range(50))
+    for _ in range(30):
+        policy.handle(START, ProbeFinished(1, Outcome.OK, 0.01, (40.0,)))
+    assert not any(policy.concurrency_limiter.has_capacity() for _ in range(50))
+
+
+def test_a_hanging_endpoint_leaves_the_capacity_of_the_others() -> None:
+    policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
+    sent = [
+        s for request_id in range(6) for s in started_attempts(policy.handle(START, make_request(request_id)))
+    ]
+    for send in sent:  # all attempts at endpoint 1 stay in flight
+        if send.endpoint_id == 2:
+            policy.handle(START + 0.1, make_finished(send.request_id, send, Outcome.OK, closed=True))
+    policy.context.now = START + 1.5
+    hanging = len(policy.endpoints.by_id[1].in_flight)
+    assert hanging >= 1
+    assert policy.concurrency_limiter.has_capacity()
+    assert {s.endpoint_id for s in started_attempts(policy.handle(START + 1.5, make_request(99)))} == {2}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a fleet sends to cold backends, in fake time: bursts, uneven shares, gateways killed in the ramp."""
+"""Slow start over a whole fleet, in fake time: bursts, uneven loads, gateways killed in the ramp."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 import pytest
 
-from gateway.policy.engine import TICK, Policy
+from gateway.policy.actions import StartAttempt
+from gateway.policy.context import TICK_SECONDS
+from gateway.policy.engine import Policy
 from gateway.policy.events import (
     AttemptFinished,
     EndpointRecord,
@@ -30,15 +32,15 @@
 )
 
 COLD_SHARE, WARM_UP = 0.2, 10.0  # the helpers' rules
-COUNT = 40  # backends
-SLOTS = 4  # requests that a backend works on at once
-QUEUE = 1.0  # seconds of work beyond which it turns requests away
+COUNT = 40  # endpoints
+SLOTS = 4  # requests that an endpoint works on at once
+QUEUE = 1.0  # seconds of work beyond which it rejects requests
 STARTED, KILLED, BACK, END = START + 10.0, START + 13.0, START + 14.0, START + 24.0
 
 
 @dataclass
-class Backends:
-    """What has reached each backend: a cold one falls when it gets more than its budget and chance allow."""
+class FakeEndpoints:
+    """What has reached each endpoint: one in slow start fails beyond its budget and what chance allows."""
 
     cold: set[int]
     capacity: float  # requests a second that a warm one carries
@@ -47,24 +49,24 @@
     random: random.Random
     seen: dict[int, deque[float]] = field(default_factory=dict)
     busy: dict[int, list[float]] = field(default_factory=dict)  # until when each slot is
-    closest: float = math.inf  # requests that were left to the nearest fall
+    closest: float = math.inf  # requests that were left before the nearest failure
 
-    def share(self, backend: int, now: float) -> float:
-        if backend not in self.cold or now < STARTED:
+    def share(self, endpoint: int, now: float) -> float:
+        if endpoint not in self.cold or now < STARTED:
             return 1.0
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (now - STARTED) / WARM_UP)
 
-    def take(self, backend: int, now: float) -> tuple[float, Outcome]:
-        """When it will have answered, and how."""
-        share = self.share(backend, now)
+    def take(self, endpoint: int, now: float) -> tuple[float, Outcome]:
+        """When it will have responded, and how."""
+        share = self.share(endpoint, now)
         if share < 1:
-            seen = self.seen.setdefault(backend, deque())
+            seen = self.seen.setdefault(endpoint, deque())
             seen.append(now)
             while seen[0] <= now - self.fall_time:
                 seen.popleft()
-            budget = self.fall_multiple * self.capacity * self.fall_time * self.share(backend, seen[0])
+            budget = self.fall_multiple * self.capacity * self.fall_time * self.share(endpoint, seen[0])
             self.closest = min(self.closest, budget + 2 * math.sqrt(budget) + 2 - len(seen))
-        busy = self.busy.setdefault(backend, [0.0] * SLOTS)
+        busy = self.busy.setdefault(endpoint, [0.0] * SLOTS)
         begins = max(now, busy[0])
         if begins - now > QUEUE:
             return now + 0.001, Outcome.OVERLOADED
@@ -88,10 +90,10 @@
             "rules__fall_s": str(fall_time),
         }
         self.cold = set(self.random.sample(range(1, COUNT + 1), int(0.6 * COUNT)))
-        self.backends = Backends(self.cold, capacity, fall_multiple, fall_time, self.random)
+        self.endpoints = FakeEndpoints(self.cold, capacity, fall_multiple, fall_time, self.random)
         self.victims = self.random.sample(range(peers), int(killed * peers))
         self.weights = [self.random.lognormvariate(0.0, 0.8) for _ in range(peers)]
-        self.made = [self.make(n, START) for n in range(peers)]
+        self.policies = [self.make(n, START) for n in range(peers)]
         self.down: set[int] = set()
         self.ending: list[tuple[float, int, int, AttemptFinished, Policy]] = []
         self.served = self.sent = 0
@@ -107,31 +109,33 @@
         return make_policy(self.members(now), self.random.getrandbits(32), me=str(me), **self.settings)
 
     def act(self, at: int, now: float, event: Event) -> None:
-        for send in started_attempts(self.made[at].handle(now, event)):
+        for send in started_attempts(self.policies[at].handle(now, event)):
             self.sent += 1
-            ends, outcome = self.backends.take(send.endpoint_id, now)
-            attempt = self.made[at].jobs[send.request_id].attempts - 1
+            ends, outcome = self.endpoints.take(send.endpoint_id, now)
+            attempt = self.policies[at].pending[send.request_id].attempts_started - 1
             told = make_finished(send.request_id, send, outcome, attempt, closed=outcome is Outcome.OK)
-            heapq.heappush(self.ending, (ends, self.sent, at, told, self.made[at]))
+            heapq.heappush(self.ending, (ends, self.sent, at, told, self.policies[at]))
 
     def end(self, now: float) -> None:
         while self.ending and self.ending[0][0] <= now:
-            ends, _, at, told, made = heapq.heappop(self.ending)
-            if made is self.made[at] and at not in self.down:
+            ends, _, at, told, policy = heapq.heappop(self.ending)
+            if policy is self.policies[at] and at not in self.down:
                 self.served += told.outcome is Outcome.OK
                 self.act(at, ends, told)
 
     def play(self, rate: float, burst: float) -> None:
         """`rate` requests a second, `burst` times as many from the start of the cold ones for 5 s on."""
-        now, rid, tick = START, 0, START
+        now, request_id, tick = START, 0, START
         told = killed = back = False
         while now < END:
             now += self.random.expovariate(rate * (burst if STARTED <= now < STARTED + 5 else 1.0))
             while tick < now:
-                tick += TICK
+                tick += TICK_SECONDS
                 self.end(tick)
                 for at in range(self.peers):
-                    if at not in self.down and (self.made[at].jobs or self.made[at].holding):
+                    if at not in self.down and (
+                        self.policies[at].pending or self.policies[at].leases.reclaimable
+                    ):
                         self.act(at, tick, TimerFired(1))
             if now >= STARTED and not told:
                 told = True
@@ -142,25 +146,41 @@
             if now >= BACK and not back:
                 back, self.down = True, set()
                 for at in self.victims:
-                    self.made[at] = self.make(at, now)
+                    self.policies[at] = self.make(at, now)
             self.end(now)
             alive = [at for at in range(self.peers) if at not in self.down]
             (at,) = self.random.choices(alive, [self.weights[n] for n in alive])
-            rid += 1
-            self.act(at, now, make_request(rid))
+            request_id += 1
+            self.act(at, now, make_request(request_id))
 
 
-# Guards the term that cold backends fall under the sum of what all processes send: the ramp holds for the
-# fleet while six in ten are cold at once, in a burst, with uneven shares, and with seven in ten of the
-# processes killed in the middle of it; for backends that carry much, and for such that carry little.
+# Endpoints in slow start fail under the sum of what all gateways send.  They hold while six in ten warm up
+# at once, in a burst, with uneven loads, and with seven in ten gateways killed in the middle of it; for
+# endpoints of much and of little capacity.
 @pytest.mark.parametrize("killed", [0.0, 0.7])
 @pytest.mark.parametrize("carries", [(10.0, 2.0, 2.0), (1.5, 3.0, 1.0)])
 @pytest.mark.parametrize("peers", [20, 30])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_cold_backends_bear_the_sum_of_a_fleet(
+def test_endpoints_in_slow_start_bear_the_sum_of_a_fleet(
     seed: int, peers: int, carries: tuple[float, float, float], killed: float
 ) -> None:
     fleet = Fleet(seed, peers, killed, *carries)
     fleet.play(0.7 * carries[0] * COUNT, 3.0)
-    assert fleet.backends.closest > 0  # closest seen: 1.3 requests, in the second kind
-    assert any(fleet.backends.seen.values())  # not had by sending them nothing
+    assert fleet.endpoints.closest > 0  # closest seen: 1.3 requests, in the second kind
+    assert any(fleet.endpoints.seen.values())  # not achieved by sending them nothing
+
+
+def test_an_endpoint_in_slow_start_gets_its_part_of_the_budget_only() -> None:
+    policy = make_policy(
+        [make_record(1), make_record(2), make_record(3, started=START)], tariffs__0__quota_rate="0"
+    )
+    cold, out = 0, deque[tuple[int, StartAttempt]]()
+    for request_id in range(100):
+        now = START + 0.5 + request_id / 50
+        for sent in started_attempts(policy.handle(now, make_request(request_id))):
+            cold += sent.endpoint_id == 3
+            out.append((request_id, sent))
+        if len(out) > 9:
+            first, sent = out.popleft()
+            policy.handle(now, make_finished(first, sent, Outcome.OK, closed=True))
+    assert 1 <= cold <= 0.3 * 100 / 2
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -4,7 +4,8 @@
 
 import time
 
-from gateway.policy.engine import WINDOW, mix
+from gateway.policy.context import stable_hash
+from gateway.policy.lease_table import WINDOW_SECONDS
 from tests.support.sockets import FakeCounter, FakeEndpoint, HttpClient, listening, running_gateway
 
 from .harness import async_test
@@ -13,7 +14,8 @@
 def customer_in_mid_window() -> int:
     """A customer whose lease window began 8 to 10 s ago."""
     window_ages = (
-        (customer, (time.time() + mix(customer) / 2**64 * WINDOW) % WINDOW) for customer in range(1, 1000)
+        (customer, (time.time() + stable_hash(customer) / 2**64 * WINDOW_SECONDS) % WINDOW_SECONDS)
+        for customer in range(1, 1000)
     )
     return next(customer for customer, age in window_ages if 8 < age < 10)
 
@@ -48,14 +50,14 @@
         listening(FakeEndpoint().handle) as address,
         running_gateway(address, counter=counter_address) as (process, _),
     ):
-        rate_limiter = process.driver.policy.pace
-        rate_before = rate_limiter.pace
+        rate_limiter = process.driver.policy.counter_rate_limiter
+        rate_before = rate_limiter.rate
         for customer in range(1, 80):
             async with HttpClient(process.listener, customer) as client:
                 assert (await client.ask()).status == 200
         assert counter.opened > 6
-        assert rate_limiter.failing > 0
-        assert rate_limiter.pace >= rate_before
+        assert rate_limiter.failure_ratio > 0
+        assert rate_limiter.rate >= rate_before
 
 
 @async_test
--- a/tests/scaletest/test_hollow_gateway.py
+++ b/tests/scaletest/test_hollow_gateway.py
@@ -33,5 +33,6 @@
     policy.handle(hollow_gateway.START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
     for number in range(50):
         membership.serve_request(policy, number, hollow_gateway.START + 1 + number)
-    assert not policy.jobs
-    assert sum(endpoint.answered > hollow_gateway.START for endpoint in policy.backends.values()) > 5
+    assert not policy.pending
+    endpoints = policy.endpoints.by_id.values()
+    assert sum(endpoint.last_response_at > hollow_gateway.START for endpoint in endpoints) > 5
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -1,4 +1,4 @@
-"""Settings and a small counter for driving gateways in tests."""
+"""Settings, records and a fake counter for driving policies in tests."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
     Request,
     UpdateKind,
 )
+from gateway.policy.lease import Lease
 from gateway.settings_parser import parse_settings
 
 BASE = {
@@ -66,27 +67,33 @@
 
 
 def text(**changes: str) -> str:
-    """The settings message, with keys changed (dots written as double underscores)."""
+    """The settings text, with keys changed (dots written as double underscores)."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
 
 def make_record(
-    backend: int, *, cell: int = 0, started: float = 0.0, state: EndpointState = EndpointState.READY
+    endpoint: int, *, cell: int = 0, started: float = 0.0, state: EndpointState = EndpointState.READY
 ) -> EndpointRecord:
-    return EndpointRecord(backend, 0, started, state, 0, cell, 1.0)
+    return EndpointRecord(endpoint, 0, started, state, 0, cell, 1.0)
 
 
 def make_request(
-    rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0, width: int = 3
+    request_id: int,
+    *,
+    cls: int = 0,
+    plan: int = 0,
+    customer: int = 5,
+    time_remaining: float = 4.0,
+    gateway_set_size: int = 3,
 ) -> Request:
-    return Request(rid, cls, plan, customer, left, 1.0, width, 0, False, False)
+    return Request(request_id, cls, plan, customer, time_remaining, 1.0, gateway_set_size, 0, False, False)
 
 
 def make_finished(
-    rid: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
+    request_id: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
 ) -> AttemptFinished:
-    return AttemptFinished(rid, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
+    return AttemptFinished(request_id, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
 
 
 def started_attempts(actions: Iterable[Action]) -> list[StartAttempt]:
@@ -94,8 +101,9 @@
 
 
 class FakeCounter:
-    """A shared counter as the deployments run it; `lose` forgets everything.  While it is `late` it adds, and
-    its answers come too late.
+    """A shared counter as the deployments run it; `lose` forgets all totals.
+
+    While it is `late` it adds, and its replies time out.
     """
 
     def __init__(self) -> None:
@@ -117,20 +125,52 @@
         return CounterReply(call.name, Outcome.OK, self.totals[call.name], 0.001)
 
 
-def make_policy(backends: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
-    made = Policy(parse_settings(text(**changes)), seed)
-    listed = tuple(backends) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
-    made.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
-    return made
+def make_policy(endpoints: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
+    policy = Policy(parse_settings(text(**changes)), seed)
+    listed = tuple(endpoints) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
+    policy.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
+    return policy
 
 
-def run_event(made: Policy, counter: FakeCounter, now: float, event: Event) -> list[Action]:
+def run_event(policy: Policy, counter: FakeCounter, now: float, event: Event) -> list[Action]:
     """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
-    found = made.handle(now, event)
+    found = policy.handle(now, event)
     at = 0
     while at < len(found):
         action = found[at]
         at += 1
         if isinstance(action, AddToCounter):
-            found = found + made.handle(now, counter.answer(action))
+            found = found + policy.handle(now, counter.answer(action))
     return found
+
+
+def serve(policy: Policy, counter: FakeCounter, now: float, request_id: int, **kind: int) -> bool:
+    """One request, served at once if an attempt was started; whether it was."""
+    sent = started_attempts(run_event(policy, counter, now, make_request(request_id, **kind)))
+    for send in sent:
+        run_event(policy, counter, now, make_finished(request_id, send, Outcome.OK, closed=True))
+    return bool(sent)
+
+
+def start_request(policy: Policy, request_id: int, **kind: int) -> StartAttempt:
+    """The first attempt of a new customer's request, which stays in flight."""
+    (sent,) = started_attempts(
+        run_event(policy, FakeCounter(), START, make_request(request_id, customer=request_id, **kind))
+    )
+    return sent
+
+
+def only_lease(policy: Policy) -> Lease:
+    """The lease of a gateway that has one."""
+    (lease,) = policy.leases.by_customer.values()
+    return lease
+
+
+class SpentCounter(FakeCounter):
+    """A counter to whose totals others have added that much before."""
+
+    by_others = 0.0
+
+    def answer(self, call: AddToCounter) -> CounterReply:
+        self.totals.setdefault(call.name, self.by_others)
+        return super().answer(call)
