--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -33,7 +33,7 @@
             return False  # each gateway sheds its part by chance: what it sends alone says nothing
         mean = self.concurrency_limit * len(self.endpoints.ready)
         silent_since = self.context.now - OUTLIER_FACTOR * self.mean_latency
-        silent = sum(1 for _ in takewhile(silent_since.__gt__, self.endpoints.started_at.values()))
+        silent = len([*takewhile(silent_since.__gt__, self.endpoints.started_at.values())])
         return self.endpoints.in_flight - silent < mean + DEVIATIONS * math.sqrt(mean)
 
     def record_outcome(self, *, late: bool, typical: bool) -> None:
