--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gateway.frontend.request_reader import MAX_DISCARDED_BYTES
-from tests.process.harness import UNREACHABLE, async_test, gateway_with_client
+from tests.support.harness import UNREACHABLE, async_test, gateway_with_client
 from tests.support.sockets import read_message
 
 
--- a/tests/frontend/test_listener.py
+++ b/tests/frontend/test_listener.py
@@ -11,7 +11,7 @@
 from gateway.frontend import listener
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
-from tests.process.harness import UNREACHABLE, async_test, gateway_with_client
+from tests.support.harness import UNREACHABLE, async_test, gateway_with_client
 from tests.support.sockets import (
     FakeEndpoint,
     HttpClient,
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -6,8 +6,8 @@
 
 from gateway.frontend.errors import BadRequestError, FrontendError, UnknownRequestClassError
 from gateway.frontend.request_metadata import RequestMetadata, RequestMetadataParser
-from tests.process.harness import UNREACHABLE, async_test, gateway_with_client
-from tests.support.sockets import config
+from tests.support.harness import UNREACHABLE, async_test, gateway_with_client
+from tests.support.sockets import make_config
 
 TARGET = b"/class-0?customer=0000000000000005"
 HEADERS = {
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def parser() -> RequestMetadataParser:
-    return RequestMetadataParser(config([]).settings, 2.0)
+    return RequestMetadataParser(make_config([]).settings, 2.0)
 
 
 def test_metadata_of_a_valid_request(parser: RequestMetadataParser) -> None:
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -26,9 +26,9 @@
     make_record,
     make_request,
     run_event,
+    settings_text,
     start_request,
     started_attempts,
-    text,
 )
 
 SETTINGS = {"peers_total": "40", "tariffs__0__quota_rate": "0"}
@@ -91,7 +91,7 @@
 @given(st.lists(STEPS, max_size=30), st.integers(0, 39), st.integers(0, 1 << 16))
 @settings(max_examples=150, deadline=None)
 def test_an_updated_table_is_the_one_made_anew(steps: list[tuple[str, object]], me: int, seed: int) -> None:
-    told = parse_settings(text(me=str(me), **SETTINGS))
+    told = parse_settings(settings_text(me=str(me), **SETTINGS))
     with mock.patch.object(engine, "EndpointTable", RebuildingTable):
         rebuilding = Policy(told, seed)
     both = (Policy(told, seed), rebuilding)
@@ -134,7 +134,9 @@
 def test_an_update_costs_no_more_in_a_long_list(state: EndpointState) -> None:
     def cost(count: int) -> float:
         listed = [make_record(n, cell=n % 490) for n in range(1, count + 1)]
-        policy = Policy(parse_settings(text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1)
+        policy = Policy(
+            parse_settings(settings_text(me="7", **{**SETTINGS, "peers_total": str(count // 15)})), 1
+        )
         policy.handle(START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, tuple(listed)))
         took = []
         for n in range(1, 61):
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -13,10 +13,9 @@
 
 from gateway.policy.actions import Action, Cancel, SetTimer, StartAttempt
 from gateway.policy.events import AttemptFinished, Outcome, Request, TimerFired
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import FIRST, FakeEndpoint, Message, http_response, listening, until
 
-from .harness import async_test, gateway_with_client
-
 
 @contextlib.contextmanager
 def listener_with_full_backlog() -> Iterator[str]:
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -9,6 +9,7 @@
 from gateway.frontend.request_reader import MAX_BODY_BYTES
 from gateway.policy.actions import Action, Fail, Reject
 from gateway.policy.events import ClientDisconnected, Request
+from tests.support.harness import UNREACHABLE, GatewaySetUp, async_test, gateway_with_client
 from tests.support.sockets import (
     FakeEndpoint,
     HttpClient,
@@ -20,8 +21,6 @@
     until,
 )
 
-from .harness import UNREACHABLE, GatewaySetUp, async_test, gateway_with_client
-
 
 def endpoint_with_largest_body() -> FakeEndpoint:
     return FakeEndpoint(lambda _: http_response(body=b"x" * MAX_BODY_BYTES))
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -10,8 +10,8 @@
 
 from gateway.policy.actions import Action
 from gateway.policy.events import ClientDisconnected
-from tests.process.harness import async_test
 from tests.process.raw_client import REQUEST, connected, send_four_requests
+from tests.support.harness import async_test
 from tests.support.sockets import FakeEndpoint, http_response, listening, running_gateway, send_on, until
 
 
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -14,15 +14,14 @@
     parse_config,
 )
 from gateway.settings_parser import parse_settings
-from tests.support.policy import text
+from tests.support.harness import config_without
+from tests.support.policy import settings_text
 from tests.support.sockets import config_text
 
-from .harness import config_without
-
 
 def test_nested_settings_read_as_the_simulators_do() -> None:
     config = parse_config(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
-    expected = parse_settings(text(report__columns="latency_ms,util"))
+    expected = parse_settings(settings_text(report__columns="latency_ms,util"))
     assert config.settings == expected
     assert (config.machine_types, config.endpoint_idle_timeout, config.seed) == (("m2",), 30.0, 0x8C1F)
     assert config.counter == Address("127.0.0.1", 6400)
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -6,10 +6,9 @@
 
 from gateway.policy.context import stable_hash
 from gateway.policy.lease_table import WINDOW_SECONDS
+from tests.support.harness import async_test
 from tests.support.sockets import FakeCounter, FakeEndpoint, HttpClient, listening, running_gateway
 
-from .harness import async_test
-
 
 def customer_in_mid_window() -> int:
     """A customer whose lease window began 8 to 10 s ago."""
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -9,6 +9,7 @@
 
 from gateway.policy.actions import Action, StartAttempt
 from gateway.policy.events import ClientDisconnected, Outcome, Request
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
@@ -21,8 +22,6 @@
     until,
 )
 
-from .harness import async_test, gateway_with_client
-
 
 @async_test
 async def test_request_is_answered_in_time_whatever_the_policy_does() -> None:
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -15,6 +15,8 @@
 from gateway.config import RESERVED_SOCKETS
 from gateway.counter.client import CONNECTION_COUNT
 from gateway.discovery.endpoint_watch import MAX_CONNECTIONS
+from tests.process.program import open_descriptors, running_program
+from tests.support.harness import async_test
 from tests.support.sockets import (
     FakeCounter,
     FakeDiscoveryAgent,
@@ -28,9 +30,6 @@
     until,
 )
 
-from .harness import async_test
-from .program import open_descriptors, running_program
-
 MAX_SOCKETS = 160  # of the gateway: its own limit and the system's
 IDLE_CLIENT_COUNT = 600  # clients that connect at once and say nothing
 MAX_UPDATE_SECONDS = 6.0  # in which a gateway has to follow discovery
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -16,10 +16,9 @@
     Request,
     UpdateKind,
 )
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import FIRST, FakeEndpoint, HttpClient, http_response, send_on, until
 
-from .harness import async_test, gateway_with_client
-
 
 @async_test
 async def test_connections_are_reused_and_connection_close_is_honoured() -> None:
--- a/tests/process/test_policy_driver.py
+++ b/tests/process/test_policy_driver.py
@@ -8,10 +8,9 @@
 
 from gateway.policy.actions import Action, FetchEndpoints, Log, Reject, SetTimer, WatchEndpoints
 from gateway.policy.events import AttemptFinished, Outcome, Request, TimerFired
+from tests.support.harness import UNREACHABLE, async_test, gateway_with_client
 from tests.support.sockets import FakeEndpoint, http_response, run, send_on, until
 
-from .harness import UNREACHABLE, async_test, gateway_with_client
-
 
 def test_error_in_the_policy_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
     async def send_requests() -> None:
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -8,6 +8,8 @@
 from pathlib import Path
 
 from gateway.counter.client import CONNECTION_COUNT
+from tests.process.program import readiness_status, running_program
+from tests.support.harness import async_test
 from tests.support.sockets import (
     FakeCounter,
     FakeDiscoveryAgent,
@@ -19,9 +21,6 @@
     until,
 )
 
-from .harness import async_test
-from .program import readiness_status, running_program
-
 
 @async_test
 async def test_sighup_moves_discovery_and_counter_and_a_malformed_file_changes_nothing(
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -9,10 +9,9 @@
 from gateway.frontend.request_reader import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
+from tests.support.harness import UNREACHABLE, async_test, gateway_with_client
 from tests.support.sockets import FakeEndpoint, http_response, run
 
-from .harness import UNREACHABLE, async_test, gateway_with_client
-
 
 @async_test
 async def test_request_is_forwarded_with_headers_and_body_unchanged() -> None:
--- a/tests/process/test_settings_parser.py
+++ b/tests/process/test_settings_parser.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gateway.settings_parser import SettingsError, parse_settings
-from tests.support.policy import text
+from tests.support.policy import settings_text
 
 
 @pytest.mark.parametrize(
@@ -21,15 +21,15 @@
 )
 def test_malformed_settings_name_the_key(changes: dict[str, str], key: str, value: str) -> None:
     with pytest.raises(SettingsError, match=key) as raised:
-        parse_settings(text(**changes))
+        parse_settings(settings_text(**changes))
     assert (raised.value.key, raised.value.value) == (key, value)
 
 
 def test_missing_settings_name_the_key() -> None:
     with pytest.raises(SettingsError, match=r"rules\.fall_s") as raised:
-        parse_settings(text().replace("rules.fall_s", "rules.other"))
+        parse_settings(settings_text().replace("rules.fall_s", "rules.other"))
     assert (raised.value.key, raised.value.value) == ("rules.fall_s", None)
 
 
 def test_unknown_settings_are_skipped() -> None:
-    assert parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].max_concurrency == 2
+    assert parse_settings(settings_text() + "\nnew.key=7\nnonsense").plans[2].max_concurrency == 2
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -7,10 +7,9 @@
 
 from gateway.policy.actions import Action, StartAttempt
 from gateway.policy.events import Request
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import FIRST, FakeEndpoint, HttpClient, http_response, send_on, until
 
-from .harness import async_test, gateway_with_client
-
 
 @async_test
 async def test_shutdown_accepts_for_a_while_and_completes_open_requests() -> None:
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -14,6 +14,8 @@
 
 import pytest
 
+from tests.process.program import free_port, readiness_status, running_program
+from tests.support.harness import async_test, config_without
 from tests.support.sockets import (
     FakeCounter,
     FakeDiscoveryAgent,
@@ -24,9 +26,6 @@
     listening,
 )
 
-from .harness import async_test, config_without
-from .program import free_port, readiness_status, running_program
-
 START_COUNT = 20
 MAX_START_SECONDS = 10.0  # in which nine in ten starts have to be ready
 
--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -9,8 +9,8 @@
 import pytest
 
 from gateway.process import GatewayProcess
-from tests.process.harness import async_test
-from tests.support.sockets import FakeDiscoveryAgent, config, host_line, listening, until
+from tests.support.harness import async_test
+from tests.support.sockets import FakeDiscoveryAgent, host_line, listening, make_config, until
 
 
 # Guards against requests that are sent by the endpoint list of an earlier process: the list that discovery
@@ -27,7 +27,7 @@
     old, new = host_line("s-00000001", "127.0.0.1:1"), host_line("s-00000002", "127.0.0.1:2")
     agent.whole = json.dumps({"seq": 42, "whole": True, "hosts": [new]}).encode()
     async with listening(late) as discovery:
-        gateway = GatewayProcess(config([old], discovery=discovery))
+        gateway = GatewayProcess(make_config([old], discovery=discovery))
         gateway.endpoint_list_timeout = 0.05 if away else 15.0
         start = asyncio.create_task(gateway.start())
         if not away:
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -7,8 +7,8 @@
 import pytest
 
 from gateway.frontend.client_connection import ClientConnection
-from tests.process.harness import async_test
 from tests.process.raw_client import REQUEST, connected, read_all, send_four_requests
+from tests.support.harness import async_test
 from tests.support.sockets import FakeEndpoint, http_response, listening, running_gateway, send_on, until
 
 
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -20,8 +20,8 @@
 )
 from gateway.upstream import connection_pool
 from tests.process.gated_loop import gate_connections
-from tests.process.harness import async_test
 from tests.process.raw_client import read_all
+from tests.support.harness import async_test
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -66,7 +66,7 @@
 START = 100.0
 
 
-def text(**changes: str) -> str:
+def settings_text(**changes: str) -> str:
     """The settings text, with keys changed (dots written as double underscores)."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
@@ -126,7 +126,7 @@
 
 
 def make_policy(endpoints: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
-    policy = Policy(parse_settings(text(**changes)), seed)
+    policy = Policy(parse_settings(settings_text(**changes)), seed)
     listed = tuple(endpoints) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
     policy.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
     return policy
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -209,7 +209,9 @@
     )  # fmt: skip
 
 
-def config(known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str) -> Config:
+def make_config(
+    known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str
+) -> Config:
     return parse_config(config_text(known, counter, discovery, **changes), {})
 
 
@@ -287,7 +289,7 @@
     *dials: str, react: Callable[[Any], list[Action]] | None = None, counter: str = "", **changes: str
 ) -> AsyncIterator[tuple[GatewayProcess, ScriptedPolicy]]:
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
-    process = GatewayProcess(config(known, counter, **changes))
+    process = GatewayProcess(make_config(known, counter, **changes))
     process.endpoint_list_timeout = 0.0  # these have no discovery
     script = ScriptedPolicy(react or (lambda _: []))
     if react is not None:
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -114,14 +114,14 @@
 
 def test_the_readme_example_runs() -> None:
     from gateway.policy.actions import StartAttempt
-    from tests.support.policy import text
+    from tests.support.policy import settings_text
 
     (example,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     space: dict[str, object] = {}
     exec(example, space)
     drive = space["drive"]
     assert callable(drive)
-    assert StartAttempt(1, 7, 0.0) in drive(text())
+    assert StartAttempt(1, 7, 0.0) in drive(settings_text())
 
 
 def test_the_deploy_file_names_all_files_with_decisions() -> None:
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gateway.policy.events import Outcome
-from tests.process.harness import async_test, gateway_with_client
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -10,7 +10,7 @@
 import pytest
 
 from gateway.policy.events import AttemptFinished, Outcome
-from tests.process.harness import async_test, gateway_with_client
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -8,7 +8,7 @@
 
 from gateway.policy.events import ClientDisconnected, Outcome
 from gateway.upstream import connection_pool
-from tests.process.harness import async_test
+from tests.support.harness import async_test
 from tests.support.sockets import (
     FIRST,
     FakeEndpoint,
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -6,7 +6,7 @@
 
 from gateway.policy.events import AttemptFinished
 from gateway.upstream.load_report import LoadReportParser
-from tests.process.harness import async_test, gateway_with_client
+from tests.support.harness import async_test, gateway_with_client
 from tests.support.sockets import FakeEndpoint, Message
 
 MALFORMED = [
