--- a/gateway/config.py
+++ b/gateway/config.py
@@ -193,7 +193,7 @@
 
 
 def load_config(env: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration in the file that NODE_CONFIG names; ``again`` as for ``parse``.
+    """The configuration in the file that NODE_CONFIG names; ``again`` as for ``parse_config``.
 
     Raises:
         ConfigError: The file cannot be read, or the configuration cannot be served.
--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -235,7 +235,7 @@
             self.disconnect_pending()  # those that were pipelined behind the last one
 
     def disconnect_pending(self) -> None:
-        """Nobody waits any more for the responses still owed."""
+        """Tell the driver that the client has gone, for each response that is still owed."""
         pending, self.pending = self.pending, deque()
         for exchange in pending:
             if exchange.open_request is not None:
--- a/gateway/frontend/request_reader.py
+++ b/gateway/frontend/request_reader.py
@@ -44,7 +44,7 @@
 
 
 class RequestHandler(Protocol):
-    """Hears of the events in the stream of bytes, within the call of `RequestReader.feed`."""
+    """Receives the events in the stream of bytes, within the call of `RequestReader.feed`."""
 
     def request_started(self) -> None:
         """The first byte of a request was read."""
--- a/gateway/open_request.py
+++ b/gateway/open_request.py
@@ -68,7 +68,7 @@
         self.on_response(response)
 
     def close(self) -> None:
-        """Close the request: nobody waits for a response any more."""
+        """Close the request: no response is owed any more."""
         self.is_closed = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that the policy hears, and the records that they carry.
+"""Events that the policy handles, and the records that they carry.
 
 Times are in seconds; `elapsed` counts from the start of what the event ends.  AttemptStarted and PeerMessage
 come on the simulator's wire alone: the gateway's responses are not streamed, and gateways share only the
--- a/gateway/policy/settings.py
+++ b/gateway/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a deployment, as the policy is told them at its start.
+"""Settings of a deployment, as the policy gets them at its start.
 
 Times are in seconds, rates in units a second.  The fields marked "not read" are part of the settings message
 of the simulator's wire and of the process configuration, so they are parsed and checked with the others;
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a policy is told at its start."""
+    """All settings of one policy."""
 
     gateway_index: int  # from 0 to gateway_count - 1
     gateway_count: int
@@ -102,7 +102,7 @@
     counter_timeout: float
     settles_usage: bool  # whether a response tells the units that its request really took; not read
     membership_push: bool  # whether the endpoint list is pushed, not polled; not read
-    weight_source: str  # what an endpoint's weight stands for; not read
+    weight_source: str  # what an endpoint's weight means; not read
     report_mode: str  # how load reports come: "piggyback" on responses, "pull" by probes, "silent": never
     report_columns: tuple[str, ...]  # what the numbers of a load report are
     prices: dict[str, float]  # by name; not read
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -24,7 +24,7 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop on which attempts are told of their end."""
+        """The loop on which the callbacks of attempts run."""
 
     def put_back(self, connection: UpstreamConnection) -> None:
         """Take a connection back that can carry another attempt."""
@@ -48,9 +48,9 @@
         self.readable = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Prepare to hear of bytes that the socket does not take, and to look for unread ones."""
+        """Have the transport report bytes that the socket does not take, and prepare to poll for unread ones."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
-        transport.set_write_buffer_limits(high=0)  # hear at once of bytes that could not be written
+        transport.set_write_buffer_limits(high=0)  # report at once bytes that could not be written
         self.transport = transport
         self.readable.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
--- a/scaletest/hollow_gateway.py
+++ b/scaletest/hollow_gateway.py
@@ -35,7 +35,7 @@
 
 
 def make_settings(size: Size, zones: int, gateway_index: int) -> Settings:
-    """Return what one gateway of a fleet of that size is told.
+    """Return the settings of one gateway of a fleet of that size.
 
     There are no quotas: what admission costs is not part of the slope of the endpoint list.
     """
--- a/scaletest/result.py
+++ b/scaletest/result.py
@@ -15,7 +15,7 @@
 
 from scaletest.scenario import ScaletestError, Scenario, StrictModel
 
-TINY = 1e-12  # stands in for a figure of nothing, which has no logarithm and divides nothing
+TINY = 1e-12  # in place of a figure of 0, which has no logarithm and cannot divide
 
 
 class ResultError(ScaletestError):
