--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -173,7 +173,7 @@
     def detect_disconnects(self) -> None:
         """Look which clients have disconnected while they are not read.
 
-        The end of their sending is queued behind bytes that are not read, so that the loop does not report it.
+        The end of their sending is behind bytes that are not read, so that the loop does not report it.
         """
         for client in [c for c in self.write_blocked if c.has_socket_event(select.POLLRDHUP)]:
             self.write_blocked.discard(client)
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -48,7 +48,7 @@
         self.readable = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have the transport report bytes that the socket does not take, and prepare to poll for unread ones."""
+        """Have bytes reported that the socket does not take, and prepare to poll for unread ones."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
         transport.set_write_buffer_limits(high=0)  # report at once bytes that could not be written
         self.transport = transport
