--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -15,18 +15,20 @@
 from tests.support.sockets import FakeEndpoint, http_response, listening, running_gateway, send_on, until
 
 
+def hold_fourth_request(event: Any) -> list[Action]:
+    """Forward each request to the first endpoint, but leave the fourth one without an action."""
+    return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
+
+
 # Guards against a disconnect that is not noticed while the client is not read, as it does not read its
 # responses: no attempt may start for the requests that it still waits for.
 @async_test
 async def test_the_disconnect_of_a_write_blocked_client_is_detected() -> None:
     endpoint = FakeEndpoint(lambda _message: http_response(body=b"x" * 60_000))
 
-    def react(event: Any) -> list[Action]:
-        return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
-
     async with (
         listening(endpoint.handle) as address,
-        running_gateway(address, react=react) as (gateway, policy),
+        running_gateway(address, react=hold_fourth_request) as (gateway, policy),
     ):
         with connected(gateway) as client:
             await send_four_requests(gateway, client)
@@ -43,12 +45,9 @@
 async def test_a_client_that_half_closes_while_responses_wait_has_disconnected(high: int | None) -> None:
     endpoint = FakeEndpoint(lambda _message: http_response(body=b"x" * 60_000))
 
-    def react(event: Any) -> list[Action]:
-        return [] if getattr(event, "request_id", 0) == 4 else send_on(event)
-
     async with (
         listening(endpoint.handle) as address,
-        running_gateway(address, react=react) as (gateway, policy),
+        running_gateway(address, react=hold_fourth_request) as (gateway, policy),
     ):
         with connected(gateway) as client:
             await send_four_requests(gateway, client, high)
