--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -29,16 +29,15 @@
 
     def choose(self, pending: PendingRequest, allowed: list[Endpoint]) -> Endpoint | None:
         """The best allowed endpoint of the subset, else of a few warm others; None without capacity."""
-        table = self.endpoints
         if not self.limiter.has_capacity():
             return None
-        if len(table.subset) >= len(table.ready):
+        if len(self.endpoints.subset) >= len(self.endpoints.ready):
             return self.best_of(pending, allowed)
-        if self.context.now >= table.subset_expires_at:
-            table.update_subset()
+        if self.context.now >= self.endpoints.subset_expires_at:
+            self.endpoints.update_subset()
         # All are looked at only where none of the subset will do: a request must not cost what a list does.
-        near, candidates = {e.record.endpoint_id for e in table.subset}, table.subset
-        if allowed is not table.ready:
+        near, candidates = {e.record.endpoint_id for e in self.endpoints.subset}, self.endpoints.subset
+        if allowed is not self.endpoints.ready:
             candidates = [e for e in allowed if e.record.endpoint_id in near]
         if best := self.best_of(pending, candidates):
             return best
