--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -7,8 +7,9 @@
 from gateway.policy.context import EPSILON, TICK_SECONDS, Context
 from gateway.policy.counter_rate_limiter import CounterRateLimiter
 from gateway.policy.events import CounterReply, Outcome, Request
-from gateway.policy.lease import Lease, PendingRequest, QuotaKind
+from gateway.policy.lease import AdmissionTicket, Lease, QuotaKind
 from gateway.policy.lease_table import LeaseKey, LeaseTable
+from gateway.policy.pending_request import PendingRequest
 
 MAX_WAIT_FRACTION = 0.25  # of its latency objective that a request waits until a call may be made
 MAX_LOCAL_UTILIZATION = 0.8  # from which only what the counter granted is admitted
@@ -24,6 +25,7 @@
     ) -> None:  # fmt: skip
         self.context, self.leases, self.rate_limiter, self.limiter = context, leases, rate_limiter, limiter
         self.dispatch, self.reject = dispatch, reject
+        self.tickets: dict[int, AdmissionTicket] = {}  # of pending requests, by request id
         self.deferred: dict[LeaseKey, Lease] = {}  # have waiters, but no call may be made yet
 
     def lease_for(self, request: Request, kind: QuotaKind) -> Lease:
@@ -37,41 +39,60 @@
             lease.local_tokens, lease.local_tokens_at = 1.0 if admits else 0.0, self.context.now
         return lease
 
+    def open(self, pending: PendingRequest) -> None:
+        """Find the leases that a new request needs a credit of."""
+        plan = pending.plan
+        limits = ((QuotaKind.RATE, plan.rate), (QuotaKind.CONCURRENCY, plan.max_concurrency))
+        leases = [self.lease_for(pending.request, kind) for kind, limit in limits if limit > 0]
+        self.tickets[pending.request.request_id] = AdmissionTicket(pending, leases)
+
     def admit(self, pending: PendingRequest) -> None:
         """Dispatch a request that gets its credits; else it waits or is rejected."""
-        for lease in pending.leases:
-            if lease not in pending.held_leases and not self._take_credit(lease, pending):
+        self._admit(self.tickets[pending.request.request_id])
+
+    def release(self, pending: PendingRequest) -> None:
+        """Take back what a request holds that is closed and has no attempt in flight."""
+        self.leases.release(self.tickets.pop(pending.request.request_id))
+
+    def drop_expired_credit(self, pending: PendingRequest) -> bool:
+        """Drop a request's rate credit if it has expired; return whether it had."""
+        return self.leases.drop_expired_credit(self.tickets[pending.request.request_id])
+
+    def _admit(self, ticket: AdmissionTicket) -> None:
+        for lease in ticket.leases:
+            if lease not in ticket.held_leases and not self._take_credit(lease, ticket):
                 return
-        self.dispatch(pending)
+        self.dispatch(ticket.pending)
 
-    def _take_credit(self, lease: Lease, pending: PendingRequest) -> bool:
+    def _take_credit(self, lease: Lease, ticket: AdmissionTicket) -> bool:
+        pending = ticket.pending
         now, units = self.context.now, lease.units_of(pending)
         if lease.spendable_credits(now) + EPSILON >= units and not lease.waiters:
-            self._spend(lease, pending, units)
+            self._spend(lease, ticket, units)
             return True
         if now < lease.denied_until:
             self.reject(pending, lease.denied_until - now)
             return False
         may_request = self.may_wait_for_lease(pending) or self.rate_limiter.may_call()
         if not may_request or self.may_spend_locally(lease, units):
-            return self._spend_locally(lease, pending, units)
-        lease.waiters.append(pending)
+            return self._spend_locally(lease, ticket, units)
+        lease.waiters.append(ticket)
         if not lease.in_flight:
             self._request_or_defer(lease)
         return False
 
-    def _spend(self, lease: Lease, pending: PendingRequest, units: float) -> None:
+    def _spend(self, lease: Lease, ticket: AdmissionTicket, units: float) -> None:
         lease.local_tokens = max(self._refill(lease) - units, -lease.window_limit)
-        self.leases.spend(lease, pending, units)
+        self.leases.spend(lease, ticket, units)
 
-    def _spend_locally(self, lease: Lease, pending: PendingRequest, units: float) -> bool:
+    def _spend_locally(self, lease: Lease, ticket: AdmissionTicket, units: float) -> bool:
         """Spend of the local quota, to be added when the counter is available, or reject."""
         if not self.within_local_quota(lease, units):
-            self.reject(pending, self.context.settings.limits.max_retry_after / 2)
+            self.reject(ticket.pending, self.context.settings.limits.max_retry_after / 2)
             return False
         lease.credits += units
         lease.unreported_units += units
-        self._spend(lease, pending, units)
+        self._spend(lease, ticket, units)
         return True
 
     def local_quota_fraction(self, lease: Lease, grant_ratio: float = 0.0) -> float:
@@ -104,10 +125,11 @@
         scarce = lease.is_half_full(self.context.now) and not self.rate_limiter.has_headroom()
         return scarce and self.within_local_quota(lease, units)
 
-    def _admit_locally(self, lease: Lease, waiters: Iterable[PendingRequest]) -> None:
-        for pending in waiters:
-            if not pending.closed and self._spend_locally(lease, pending, lease.units_of(pending)):
-                self.admit(pending)
+    def _admit_locally(self, lease: Lease, waiters: Iterable[AdmissionTicket]) -> None:
+        for ticket in waiters:
+            pending = ticket.pending
+            if not pending.closed and self._spend_locally(lease, ticket, lease.units_of(pending)):
+                self._admit(ticket)
 
     def may_wait_for_lease(self, pending: PendingRequest) -> bool:
         """Whether a request may still wait for a call, as local admission may go beyond the quota."""
@@ -125,8 +147,9 @@
     def retry_deferred_leases(self) -> None:
         """Request deferred leases, least denied first; what waited too long goes by the local quota."""
         for key, lease in sorted(self.deferred.items(), key=lambda item: item[1].consecutive_denials):
-            waiters, lease.waiters = lease.waiters, deque(filter(self.may_wait_for_lease, lease.waiters))
-            self._admit_locally(lease, (w for w in waiters if not self.may_wait_for_lease(w)))
+            waiters = lease.waiters
+            lease.waiters = deque(ticket for ticket in waiters if self.may_wait_for_lease(ticket.pending))
+            self._admit_locally(lease, (t for t in waiters if not self.may_wait_for_lease(t.pending)))
             if not lease.waiters or lease.in_flight:
                 self.deferred.pop(key, None)
             else:
@@ -159,32 +182,33 @@
     def _serve_waiters(self, lease: Lease, *, denied: bool) -> None:
         served = []
         while lease.waiters:
-            pending, units = lease.waiters[0], lease.units_of(lease.waiters[0])
-            if not pending.closed:
+            ticket = lease.waiters[0]
+            units = lease.units_of(ticket.pending)
+            if not ticket.pending.closed:
                 if lease.spendable_credits(self.context.now) + EPSILON < units:
                     break
-                self._spend(lease, pending, units)
-                served.append(pending)
+                self._spend(lease, ticket, units)
+                served.append(ticket)
             lease.waiters.popleft()
         if denied:
             self._reject_waiters(lease)
         elif lease.waiters:
             self.leases.request_lease(lease)
-        for pending in served:
-            self.admit(pending)
+        for ticket in served:
+            self._admit(ticket)
 
     def _reject_waiters(self, lease: Lease) -> None:
         """Reject until the quota holds what the next one takes; slots may become free at any time."""
         now, delay = self.context.now, 2 * TICK_SECONDS
         if lease.kind is QuotaKind.RATE:
-            needed = lease.units_of(lease.waiters[0]) if lease.waiters else 1.0
+            needed = lease.units_of(lease.waiters[0].pending) if lease.waiters else 1.0
             empty, missing = lease.credits < EPSILON, max(0.0, needed - lease.spendable_credits(now))
             if empty:
                 missing = max(missing, 1.0 - lease.quota_level(now))
             delay = missing / lease.plan.rate * (self._denial_backoff(lease) if empty else 1.0)
         lease.denied_until = now + delay
         rejected, lease.waiters = lease.waiters, deque()
-        for pending in [waiter for waiter in rejected if not waiter.closed]:
+        for pending in [waiter.pending for waiter in rejected if not waiter.pending.closed]:
             self.reject(pending, lease.denied_until - now)
 
     def _denial_backoff(self, lease: Lease) -> float:
@@ -195,5 +219,6 @@
 
     def stop_waiting(self, pending: PendingRequest) -> None:
         """Request nothing more for a request whose client is gone."""
-        for lease in [lease for lease in pending.leases if pending in lease.waiters]:
-            lease.waiters.remove(pending)
+        ticket = self.tickets[pending.request.request_id]
+        for lease in [lease for lease in ticket.leases if ticket in lease.waiters]:
+            lease.waiters.remove(ticket)
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -12,9 +12,9 @@
 from gateway.policy.context import DEADLINE_MARGIN_SECONDS, EPSILON, TICK_SECONDS, Context
 from gateway.policy.counter_rate_limiter import CounterRateLimiter
 from gateway.policy.endpoints import Endpoint, EndpointTable
-from gateway.policy.lease import PendingRequest, QuotaKind
 from gateway.policy.lease_table import LeaseTable
 from gateway.policy.load_balancer import LoadBalancer
+from gateway.policy.pending_request import PendingRequest
 from gateway.policy.retries import Retries
 from gateway.policy.settings import Settings
 from gateway.policy.slow_start import SlowStart
@@ -68,10 +68,9 @@
 
     def _on_request(self, request: events.Request) -> None:
         plan, now = self.settings.plans[request.plan_index], self.context.now
-        limits = ((QuotaKind.RATE, plan.rate), (QuotaKind.CONCURRENCY, plan.max_concurrency))
-        leases = [self.admission.lease_for(request, kind) for kind, limit in limits if limit > 0]
         request_class, deadline = self.settings.classes[request.class_index], now + request.time_remaining
-        pending = PendingRequest(request, request_class, plan, now, deadline, leases)
+        pending = PendingRequest(request, request_class, plan, now, deadline)
+        self.admission.open(pending)
         self.pending[request.request_id] = pending
         self.load_balancer.probe()
         if request.time_remaining < DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS:
@@ -85,7 +84,7 @@
             return
         # Credit under a ceiling expires while queued too, or queued requests would pass the ceiling together.
         ceiling = pending.plan.ceiling_rate and not pending.attempts_started
-        if ceiling and self.leases.drop_expired_credit(pending):
+        if ceiling and self.admission.drop_expired_credit(pending):
             self.admission.admit(pending)
         elif endpoint := self.load_balancer.choose(pending, self.retries.allowed_endpoints(pending)):
             self._start_attempt(pending, endpoint)
@@ -103,9 +102,7 @@
     def _start_attempt(self, pending: PendingRequest, endpoint: Endpoint) -> None:
         request_id, number = pending.request.request_id, pending.attempts_started
         self.requests_in_flight += not pending.in_flight
-        pending.in_flight[number] = self.endpoints.start_attempt(endpoint, (request_id, number))
-        pending.attempts_started += 1
-        pending.tried_endpoints.append(endpoint.record.endpoint_id)
+        pending.start_attempt(self.endpoints.start_attempt(endpoint, (request_id, number)))
         self.slow_start.record_attempt(endpoint)
         if number == 0:
             self.retries.record_first_attempt()
@@ -116,10 +113,8 @@
         if attempt := self.endpoints.finish_attempt(event.endpoint_id, (event.request_id, event.attempt)):
             self.load_balancer.record_result(attempt, event, pending)
         if pending:
-            attempt = pending.in_flight.pop(event.attempt, None)
+            attempt = pending.finish_attempt(event.attempt, never_ran=event.outcome.never_ran)
             self.requests_in_flight -= attempt is not None and not pending.in_flight
-            if attempt and not event.outcome.never_ran:
-                pending.executed.append(attempt)
             if pending.closed or event.request_closed or event.outcome is events.Outcome.OK:
                 self._close(pending)
             elif not pending.in_flight and not self.retries.may_retry(pending):
@@ -147,8 +142,8 @@
     def _close(self, pending: PendingRequest) -> None:
         """Start nothing more for a request; forget it once none of its attempts is in flight."""
         if not pending.in_flight and self.pending.pop(pending.request.request_id, None) is not None:
-            self.leases.release(pending)
-        pending.closed = True
+            self.admission.release(pending)
+        pending.close()
 
     def _set_timer(self) -> None:
         """Set a timer only while there is something to wait for: idle gateways cost nothing."""
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -1,4 +1,4 @@
-"""One customer's lease: its window, credits and quota by the counter's total; and requests that need it."""
+"""One customer's lease: its window, credits and quota by the counter's total."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from enum import IntEnum
 
 from gateway.policy.context import EPSILON
-from gateway.policy.endpoints import Attempt
-from gateway.policy.events import Outcome, Request
+from gateway.policy.events import Outcome
 from gateway.policy.lease_sizing import BatchSizer
-from gateway.policy.settings import Plan, RequestClass
+from gateway.policy.pending_request import PendingRequest
+from gateway.policy.settings import Plan
 
 MIN_LOST_UNITS = 0.01  # by which a total must be too low to count as lost
 
@@ -23,25 +23,6 @@
     CONCURRENCY = 1  # slots of requests in progress
 
 
-@dataclass(slots=True)
-class PendingRequest:
-    """A request until it is answered and none of its attempts is in flight; times are absolute."""
-
-    request: Request
-    request_class: RequestClass
-    plan: Plan
-    arrived_at: float
-    deadline: float
-    leases: list[Lease]  # a credit of each is needed
-    held_leases: list[Lease] = field(default_factory=list)  # those it holds a credit of
-    refill_index: int = 0  # of the rate credit that it holds
-    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by attempt number
-    tried_endpoints: list[int] = field(default_factory=list)
-    attempts_started: int = 0
-    executed: list[Attempt] = field(default_factory=list)  # ended attempts that may have been
-    closed: bool = False  # answered, or its client is gone
-
-
 @dataclass(slots=True)
 class Lease:
     """A customer's leased part of a quota at this gateway; amounts in units, or in slots."""
@@ -81,7 +62,7 @@
     local_tokens_at: float = 0.0
     last_used_at: float = 0.0
     is_frequent: bool = False  # whether the last two requests came within a refill time
-    waiters: deque[PendingRequest] = field(default_factory=deque)
+    waiters: deque[AdmissionTicket] = field(default_factory=deque)
 
     def units_of(self, pending: PendingRequest) -> float:
         """What a request takes of this quota."""
@@ -163,3 +144,20 @@
             self.unreported_units -= self.requested_units  # of no use here any more
             if self.synchronized:  # else the carried deficit was not part of it
                 self.carried_deficit = self.expired_credits = 0.0
+
+
+@dataclass(slots=True, eq=False)
+class AdmissionTicket:
+    """The leases that a request needs a credit of, and those whose credit it holds.
+
+    Attributes:
+        pending: The request.
+        leases: One lease for each quota of its customer's plan.
+        held_leases: Those of them that it holds a credit of.
+        refill_index: Refill time in which it got its rate credit.
+    """
+
+    pending: PendingRequest
+    leases: list[Lease]
+    held_leases: list[Lease] = field(default_factory=list)
+    refill_index: int = 0
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -8,7 +8,7 @@
 from gateway.policy.context import EPSILON, LATENCY_WEIGHT, REPORT_WEIGHT, Context, stable_hash
 from gateway.policy.counter_rate_limiter import CounterRateLimiter
 from gateway.policy.events import CounterReply, Outcome, Request
-from gateway.policy.lease import Lease, PendingRequest, QuotaKind
+from gateway.policy.lease import AdmissionTicket, Lease, QuotaKind
 from gateway.policy.lease_sizing import BatchSizer
 
 WINDOW_SECONDS = 20.0  # what is leased near an edge is seen by the other gateways as late as after it
@@ -64,20 +64,21 @@
         sizer = BatchSizer(math.log(max(1.0, limit / set_size)), settings.counter_price)  # its part at first
         return Lease(request.customer, plan, set_size, kind, length, phase, limit, refill_time, sizer)
 
-    def spend(self, lease: Lease, pending: PendingRequest, units: float) -> None:
+    def spend(self, lease: Lease, ticket: AdmissionTicket, units: float) -> None:
         """Hand a request the credits that it needs."""
         lease.credits -= units
         lease.served_units += units
         lease.slots_in_use += 1
-        pending.held_leases.append(lease)
+        ticket.held_leases.append(lease)
         if lease.kind is QuotaKind.RATE:
-            pending.refill_index = lease.refill_index
+            ticket.refill_index = lease.refill_index
         if lease.kind is QuotaKind.CONCURRENCY or lease.credits > EPSILON:
             self.reclaimable[lease.customer, lease.kind] = lease
 
-    def release(self, pending: PendingRequest) -> None:
+    def release(self, ticket: AdmissionTicket) -> None:
         """Take back what a closed request holds: its slots, and rate credits if it was never sent."""
-        for lease in pending.held_leases:
+        pending = ticket.pending
+        for lease in ticket.held_leases:
             lease.roll_window(self.context.now)
             lease.slots_in_use -= 1
             if lease.kind is QuotaKind.RATE:
@@ -87,13 +88,13 @@
             else:
                 self._return_units(lease, 1.0)
 
-    def drop_expired_credit(self, pending: PendingRequest) -> bool:
+    def drop_expired_credit(self, ticket: AdmissionTicket) -> bool:
         """Whether a request's rate credit has expired with its refill time, and had to be dropped."""
-        for lease in pending.leases:
+        for lease in ticket.leases:
             lease.roll_window(self.context.now)
-            if lease.kind is QuotaKind.RATE and lease.refill_index != pending.refill_index:
+            if lease.kind is QuotaKind.RATE and lease.refill_index != ticket.refill_index:
                 lease.slots_in_use -= 1
-                pending.held_leases.remove(lease)
+                ticket.held_leases.remove(lease)
                 return True
         return False
 
@@ -101,7 +102,7 @@
         """Request a batch, unless one is in flight: further requests wait for that one."""
         if lease.in_flight:
             return
-        needed, batch = sum(lease.units_of(pending) for pending in lease.waiters) - lease.credits, 1.0
+        needed, batch = sum(lease.units_of(ticket.pending) for ticket in lease.waiters) - lease.credits, 1.0
         lease.in_flight, lease.overflow_units, lease.units_before_sync = True, 0.0, 0.0
         if lease.kind is QuotaKind.RATE:
             # Whole units: a fraction would serve nobody and expire.  No more than the quota holds.
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -7,7 +7,7 @@
 from gateway.policy.context import DECAY_SECONDS, LATENCY_WEIGHT, REPORT_WEIGHT, TARGET_FRACTION, Context
 from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
 from gateway.policy.events import AttemptFinished, Outcome
-from gateway.policy.lease import PendingRequest
+from gateway.policy.pending_request import PendingRequest
 from gateway.policy.slow_start import SlowStart
 
 MAX_CANDIDATES = 12  # endpoints compared for an attempt
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -7,8 +7,8 @@
 from gateway.policy.concurrency_limiter import ConcurrencyLimiter
 from gateway.policy.context import DEADLINE_MARGIN_SECONDS, TICK_SECONDS, Context
 from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
-from gateway.policy.lease import PendingRequest
 from gateway.policy.load_balancer import LoadBalancer
+from gateway.policy.pending_request import PendingRequest
 from gateway.policy.settings import DedupScope, Effect
 
 SILENT_LATENCIES = 6.0  # of its class without a response, after which an attempt's endpoint counts as silent
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -18,7 +18,7 @@
     Outcome,
     UpdateKind,
 )
-from gateway.policy.lease import PendingRequest
+from gateway.policy.pending_request import PendingRequest
 from gateway.policy.subsetting import MIN_GATEWAYS_PER_ENDPOINT, MIN_SUBSET_SIZE, choose_subset, ring_offset
 from tests.support.policy import (
     START,
