--- /dev/null
+++ b/gateway/counter/call_expiry.py
@@ -0,0 +1,46 @@
+"""The timeout of calls to the counter."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import deque
+
+from gateway.counter.call import CounterCall
+
+
+class CallExpiry:
+    """Expires each call that is not settled within `timeout_seconds`, which is the same for all calls.
+
+    The calls therefore expire in the order in which they were made, and one timer serves them all.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, timeout_seconds: float) -> None:
+        self.timeout_seconds = timeout_seconds
+        self._loop = loop
+        self._calls: deque[CounterCall] = deque()  # oldest first; settled ones are dropped when they are due
+        self._timer: asyncio.TimerHandle | None = None
+
+    def schedule(self, call: CounterCall) -> None:
+        """Expire the call unless it is settled in time."""
+        self._calls.append(call)
+        if self._timer is None:
+            self._timer = self._loop.call_later(self.timeout_seconds, self._expire_due_calls)
+
+    def cancel(self) -> None:
+        """Expire no further call."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _expire_due_calls(self) -> None:
+        now = time.monotonic()
+        while self._calls:
+            call = self._calls[0]
+            if not call.is_settled:
+                seconds_left = call.started_at + self.timeout_seconds - now
+                if seconds_left > 0:
+                    self._timer = self._loop.call_later(seconds_left, self._expire_due_calls)
+                    return
+                call.expire()
+            self._calls.popleft()
+        self._timer = None
--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -1,4 +1,4 @@
-"""One pipelined connection to the counter: its state, its calls in order of their replies, reconnecting."""
+"""One connection to the counter: its states, its transport, liveness and reconnecting."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 import enum
 import logging
 import time
-from collections import deque
 from collections.abc import Coroutine
 from typing import Protocol, cast
 
 from gateway.address import Address
+from gateway.backoff import Backoff
 from gateway.counter.call import CounterCall, Ping
+from gateway.counter.call_pipeline import CallPipeline
 from gateway.counter.errors import MalformedReplyError
-from gateway.counter.resp import ErrorReply, Pong, Reply, ReplyParser, Total
-from gateway.policy.actions import AddToCounter
 from gateway.policy.events import Outcome
 
 MAX_PENDING_CALLS = 1000  # on one connection, queued or written
-PING_INTERVAL_SECONDS = 2.0  # without a call; a PING then keeps the connection from being closed as idle
-REPLY_TIMEOUT_SECONDS = 2.0  # without a byte while calls wait: the machine at the other end has vanished
-MIN_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS = 0.05, 1.0  # between attempts to connect
+PING_INTERVAL_SECONDS = 2.0  # idle time after which a PING keeps the connection from being closed
+REPLY_TIMEOUT_SECONDS = 2.0  # silence while calls wait, after which the counter's machine is taken for lost
 CONNECT_TIMEOUT_SECONDS = 1.0
+MIN_RETRY_DELAY_SECONDS = 0.05  # between attempts to connect
+MAX_RETRY_DELAY_SECONDS = 1.0
 
 log = logging.getLogger(__name__)
 
@@ -32,11 +32,11 @@
     DISCONNECTED = enum.auto()  # calls fail at once until the next attempt to connect
     CONNECTING = enum.auto()  # calls are queued
     OPEN = enum.auto()
-    DRAINING = enum.auto()  # another took its place; it stays open until its written calls have ended
+    DRAINING = enum.auto()  # replaced by another connection; open until the written calls are settled
 
 
 NEXT_STATES = {
-    # OPEN: the transport may report the connection just after the attempt has run out of time.
+    # OPEN: the transport may report the connection just after the attempt has timed out.
     ConnectionState.DISCONNECTED: {ConnectionState.CONNECTING, ConnectionState.OPEN},
     ConnectionState.CONNECTING: {ConnectionState.OPEN, ConnectionState.DISCONNECTED},
     ConnectionState.OPEN: {ConnectionState.DRAINING, ConnectionState.DISCONNECTED},
@@ -51,7 +51,7 @@
     is_closed: bool
 
     def is_current(self, connection: CounterConnection) -> bool:
-        """Whether the connection is in use, or is to replace one that is."""
+        """Return whether the connection is in use, or is to replace one that is."""
         ...
 
     def start_task(self, work: Coroutine[None, None, None]) -> None:
@@ -63,111 +63,93 @@
         ...
 
     def connection_opened(self, connection: CounterConnection) -> None:
-        """Put a connection that is open now in its place."""
-        ...
-
-    def schedule_expiry(self, call: CounterCall) -> None:
-        """Expire the call once it has waited for too long."""
-        ...
-
-    def settle(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
-        """Reply to the policy unless it has had its reply to this call."""
+        """Use a connection that has just opened in the place of the one that it replaces."""
         ...
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection to an address; reconnects for as long as its owner uses it.
+    """One connection to one address, which reconnects for as long as its owner uses it.
 
-    When another connection takes its place (`hand_over_to`), that one writes only once the calls written here
-    have ended: replies to calls of one name are given to the policy in the order of the calls.
+    The event loop calls the methods of `asyncio.Protocol`; the owner calls the others.  When another
+    connection replaces this one (`hand_over_to`), that one writes only once all calls written here are
+    settled: the policy gets the replies to calls of one name in the order of the calls.
     """
 
     def __init__(self, owner: ConnectionOwner, address: Address) -> None:
         self.address = address
         self.state = ConnectionState.DISCONNECTED
-        self.queued_calls: deque[CounterCall] = deque()  # to be written once that is allowed
-        self.written_calls: deque[CounterCall | Ping] = deque()  # in the order in which their replies come
-        self.last_received_at = 0.0  # by the monotonic clock; or when a call was written with none before it
+        self.calls = CallPipeline()
+        self.last_received_at = 0.0  # monotonic seconds; or when the first of the waiting calls was written
         self._owner = owner
-        self._predecessor: CounterConnection | None = None  # whose place this took and whose calls come first
-        self._successor: CounterConnection | None = None  # that took this one's place
+        self._predecessor: CounterConnection | None = None  # replaced by this one and not drained yet
+        self._successor: CounterConnection | None = None  # replaces this one and waits until it has drained
         self._transport: asyncio.Transport | None = None
-        self._parser = ReplyParser()
         self._has_unsent_bytes = False  # whether written bytes are still in this process
-        self._retry_delay = MIN_RETRY_DELAY_SECONDS
+        self._backoff = Backoff(MIN_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS)
 
     def _enter(self, state: ConnectionState) -> None:
         assert state in NEXT_STATES[self.state], f"{self.state} to {state}"
         self.state = state
 
-    def add(self, request: AddToCounter, now: float) -> None:
-        """Write an addition, or queue it while the connection is being made; settle it at once otherwise."""
-        call = CounterCall(request, now, self)
-        if len(self.written_calls) + len(self.queued_calls) >= MAX_PENDING_CALLS:
-            self._owner.settle(call, Outcome.OVERLOADED)
-            return
-        if self.state is ConnectionState.DISCONNECTED:
-            self._owner.settle(call, Outcome.CONNECT_FAILED)
-            return
-        self._owner.schedule_expiry(call)
-        if self.can_write():
+    def add(self, call: CounterCall) -> None:
+        """Write a call, or queue it while the connection is being opened; settle it at once otherwise."""
+        if len(self.calls) >= MAX_PENDING_CALLS:
+            call.settle(Outcome.OVERLOADED)
+        elif self.state is ConnectionState.DISCONNECTED:
+            call.settle(Outcome.CONNECT_FAILED)
+        elif self.can_write():
             self._write(call)
         else:
-            self.queued_calls.append(call)
+            self.calls.queue(call)
 
     def can_write(self) -> bool:
-        """Whether a call may be written now: not before those written to the predecessor have ended."""
-        return (
-            self.state is ConnectionState.OPEN
-            and self._transport is not None
-            and not self._transport.is_closing()
-            and self._predecessor is None
-        )
+        """Return whether a call may be written now: not before the predecessor has drained."""
+        if self.state is not ConnectionState.OPEN or self._predecessor is not None:
+            return False
+        return self._transport is not None and not self._transport.is_closing()
 
     def _write_queued_calls(self) -> None:
-        while self.queued_calls and self.can_write():
-            self._write(self.queued_calls.popleft())
+        while self.can_write():
+            call = self.calls.dequeue()
+            if call is None:
+                return
+            self._write(call)
 
     def _write(self, call: CounterCall | Ping) -> None:
         assert self._transport is not None
-        if not self.written_calls:
+        if not self.calls.has_written:
             self.last_received_at = time.monotonic()
-        self.written_calls.append(call)
+        self.calls.append_written(call)
         self._transport.write(call.encode())
 
     def expire(self, call: CounterCall) -> None:
-        """End a call that has waited for too long."""
-        if call in self.queued_calls:
-            self.queued_calls.remove(call)  # never written, so it can never be added
-            self._owner.settle(call, Outcome.CONNECT_FAILED)
-        else:
-            # It keeps its place there: its late reply must not be taken for the next call's.
-            self._owner.settle(call, Outcome.TIMEOUT)
+        """End a call that has waited longer than its timeout."""
+        self.calls.expire(call)
         self._close_when_drained()
 
     def hand_over_to(self, successor: CounterConnection) -> None:
-        """Let another connection take this one's place: written calls end here, queued ones move."""
+        """Let another connection replace this one: written calls end here, queued ones move to it."""
         self._successor = successor
-        successor._take_over(self, self.queued_calls)
-        self.queued_calls = deque()
+        successor.wait_for(self)
+        self.calls.hand_queue_to(successor.calls, successor)
         if self.state is ConnectionState.OPEN:
             self._enter(ConnectionState.DRAINING)
         self._close_when_drained()
 
-    def _take_over(self, predecessor: CounterConnection, queued_calls: deque[CounterCall]) -> None:
+    def wait_for(self, predecessor: CounterConnection) -> None:
+        """Write nothing until the connection that this one replaces has drained."""
         self._predecessor = predecessor
-        self.queued_calls = queued_calls
-        for call in queued_calls:
-            call.connection = self
 
     def _close_when_drained(self) -> None:
-        """Close after a hand-over, once all written calls have ended, and let the successor write."""
-        if self._successor is not None and all(call.is_settled for call in self.written_calls):
-            successor, self._successor = self._successor, None
+        """Close once another connection replaces this one and all written calls are settled."""
+        successor = self._successor
+        if successor is not None and self.calls.is_drained:
+            self._successor = None
             self.abort()
-            successor._predecessor_drained()
+            successor.predecessor_drained()
 
-    def _predecessor_drained(self) -> None:
+    def predecessor_drained(self) -> None:
+        """Write what was queued while the connection that this one replaces was draining."""
         self._predecessor = None
         self._write_queued_calls()
 
@@ -179,98 +161,75 @@
             self._owner.start_task(self._attempt_connection())
 
     async def _attempt_connection(self) -> None:
-        host, port = self.address.host, self.address.port
+        host = self.address.host
+        port = self.address.port
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 await self._owner.loop.create_connection(lambda: self, host, port)
         except (OSError, TimeoutError):
-            if self.state is ConnectionState.CONNECTING:  # it may have opened just as the time ran out
-                self._enter(ConnectionState.DISCONNECTED)
-            self._fail_queued_calls()
-            self._owner.loop.call_later(self._retry_delay, self.connect)
-            self._retry_delay = min(MAX_RETRY_DELAY_SECONDS, 2 * self._retry_delay)
+            self._connection_failed()
         finally:
             self._owner.connection_attempted()
 
-    def _fail_queued_calls(self) -> None:
-        queued_calls, self.queued_calls = self.queued_calls, deque()
-        for call in queued_calls:
-            self._owner.settle(call, Outcome.CONNECT_FAILED)
+    def _connection_failed(self) -> None:
+        """Fail the queued calls, and connect again after the backoff."""
+        if self.state is ConnectionState.CONNECTING:  # it may have opened just as the attempt timed out
+            self._enter(ConnectionState.DISCONNECTED)
+        self.calls.fail_queued()
+        self._owner.loop.call_later(self._backoff.seconds, self.connect)
+        self._backoff.lengthen()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the place that the owner has for this connection, and write what is queued."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        """Replace the connection that this one is for, and write what is queued."""
+        transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
         transport.set_write_buffer_limits(high=0)  # so that any unsent byte pauses writing
         self._transport = transport
         self._enter(ConnectionState.OPEN)
         self._has_unsent_bytes = False
-        self._parser = ReplyParser()
+        self.calls.expect_new_stream()
         self.last_received_at = time.monotonic()
-        if not self._owner.is_current(self):  # the address changed meanwhile
+        if not self._owner.is_current(self):  # the address was changed in the meantime
             transport.abort()
             return
         self._owner.connection_opened(self)
         self._write_queued_calls()
 
     def pause_writing(self) -> None:
-        """Note that written bytes have not been sent."""
+        """Note that some written bytes are not sent yet."""
         self._has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Note that all written bytes have been sent."""
+        """Note that all written bytes are sent."""
         self._has_unsent_bytes = False
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Settle all written calls and connect again."""
         self._transport = None
         self._enter(ConnectionState.DISCONNECTED)
-        calls, self.written_calls = self.written_calls, deque()
-        # Which of several calls the unsent bytes belong to is not known; a single one was not sent in full.
-        not_sent = self._has_unsent_bytes and len(calls) == 1
-        for call in calls:
-            self._settle(call, Outcome.CONNECT_FAILED if not_sent else Outcome.TIMEOUT)
+        self.calls.fail_written(has_unsent_bytes=self._has_unsent_bytes)
         self._close_when_drained()
         self.connect()
 
     def data_received(self, data: bytes) -> None:
-        """Match the replies that are complete to the written calls, oldest first."""
-        self.last_received_at, self._retry_delay = time.monotonic(), MIN_RETRY_DELAY_SECONDS
+        """Settle the calls whose replies are complete; close the connection on a malformed reply."""
+        self.last_received_at = time.monotonic()
+        self._backoff.reset()
         try:
-            for reply in self._parser.feed(data):
-                if not self.written_calls:
-                    raise MalformedReplyError(f"a reply that no call waits for: {reply}")
-                self._apply_reply(self.written_calls.popleft(), reply)
+            self.calls.receive(data)
         except MalformedReplyError as error:
             log.warning("counter: connection closed: %s", error)
             self.abort()
         self._close_when_drained()
 
-    def _apply_reply(self, call: CounterCall | Ping, reply: Reply) -> None:
-        match reply, call:
-            case ErrorReply(), _:
-                if not reply.is_busy:
-                    log.warning("counter: error reply: %.80s", reply.text)
-                self._settle(call, Outcome.OVERLOADED)  # nothing was added
-            case Pong(), Ping():
-                pass
-            case Total(), CounterCall():
-                self._settle(call, Outcome.OK, reply.value)
-            case _:
-                self._settle(call, Outcome.TIMEOUT)  # it may have been added
-                raise MalformedReplyError(f"not a reply to {type(call).__name__}: {reply!r:.80}")
-
-    def _settle(self, call: CounterCall | Ping, outcome: Outcome, total: float = 0.0) -> None:
-        if isinstance(call, CounterCall):
-            self._owner.settle(call, outcome, total)
-
     def check_liveness(self, now: float) -> None:
-        """Close a connection whose calls get no reply, and ping an idle one."""
+        """Close a connection whose calls get no reply, and ping an idle one; `now` is monotonic seconds."""
         if self.state is not ConnectionState.OPEN:
             return
         silent_seconds = now - self.last_received_at
-        if self.written_calls and silent_seconds > REPLY_TIMEOUT_SECONDS:
-            self.abort()
-        elif not self.written_calls and silent_seconds > PING_INTERVAL_SECONDS:
+        if self.calls.has_written:
+            if silent_seconds > REPLY_TIMEOUT_SECONDS:
+                self.abort()
+        elif silent_seconds > PING_INTERVAL_SECONDS:
             self._write(Ping())
 
     def abort(self) -> None:
--- a/gateway/counter/errors.py
+++ b/gateway/counter/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with what the counter sends."""
+"""Errors of the counter's client."""
 
 from __future__ import annotations
 
@@ -8,4 +8,4 @@
 
 
 class MalformedReplyError(CounterError):
-    """Bytes that are no reply to the oldest call; what follows them cannot be matched to calls."""
+    """The bytes are no reply to the oldest call; what follows them cannot be matched to calls."""
--- a/gateway/counter/resp.py
+++ b/gateway/counter/resp.py
@@ -1,4 +1,4 @@
-"""The counter's calls and replies as RESP2 bytes; does no I/O."""
+"""The counter's commands and replies as RESP2 bytes, and the names they have there; does no I/O."""
 
 from __future__ import annotations
 
@@ -13,10 +13,16 @@
 from gateway.counter.errors import MalformedReplyError
 from gateway.policy.actions import AddToCounter
 
+ADD_COMMAND = "TALLY"  # AddToCounter: name, amount, expires_after in milliseconds
 PING = b"*1\r\n$4\r\nPING\r\n"
-MIN_EXPIRY_MILLISECONDS, MAX_EXPIRY_MILLISECONDS = 1, 60_000  # that the counter accepts
-MAX_REPLY_BYTES = 64 * 1024  # far more than any total takes
-TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf: sums would stay so
+PONG = b"PONG"  # the reply to PING
+BUSY_ERROR_PREFIX = "BUSY"  # of the error reply of an overloaded counter
+
+MIN_EXPIRY_MILLISECONDS = 1  # that the counter accepts
+MAX_EXPIRY_MILLISECONDS = 60_000  # that the counter accepts
+MAX_REPLY_BYTES = 64 * 1024  # far more than any total needs
+# Neither nan nor inf, with which no later sum of a customer would be a number again.
+TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +45,8 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether the counter is overloaded, which is not worth a log line."""
-        return self.text.startswith("BUSY")
+        """Whether the counter is overloaded, an everyday condition that is not logged."""
+        return self.text.startswith(BUSY_ERROR_PREFIX)
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,10 +60,10 @@
 
 
 def encode_add(request: AddToCounter) -> bytes:
-    """Encode an addition as a TALLY command."""
+    """Return an addition as the bytes of a command; its expiry is clamped to what the counter accepts."""
     milliseconds = round(request.expires_after * 1000)
     expiry = max(MIN_EXPIRY_MILLISECONDS, min(MAX_EXPIRY_MILLISECONDS, milliseconds))
-    command = ("TALLY", str(request.name), f"{request.amount:.6f}", str(expiry))
+    command = (ADD_COMMAND, str(request.name), f"{request.amount:.6f}", str(expiry))
     packed: bytes = hiredis.pack_command(command)  # type: ignore[arg-type]  # any length is taken
     return packed
 
@@ -96,6 +102,6 @@
         return ErrorReply(str(raw))
     if isinstance(raw, bytes) and TOTAL.fullmatch(raw):
         return Total(float(raw))
-    if raw == b"PONG":
+    if raw == PONG:
         return Pong()
     return UnexpectedReply(raw)
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -84,7 +84,7 @@
         await until(lambda: replies)
         assert replies[0].outcome is Outcome.TIMEOUT
         assert replies[0].elapsed >= 0.05
-        client.timeout_seconds = 5.0
+        client.call_expiry.timeout_seconds = 5.0
         client.add(make_add(8, 2.0))
         go.set()
         await until(lambda: len(replies) == 2)
@@ -147,8 +147,8 @@
         await until(lambda: is_open(connection))
         before = connection.last_received_at
         connection.check_liveness(time.monotonic() + 3.0)
-        assert len(connection.written_calls) == 1
-        await until(lambda: not connection.written_calls)
+        assert len(connection.calls) == 1
+        await until(lambda: len(connection.calls) == 0)
         assert connection.last_received_at > before
         assert not counter.calls
 
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -30,8 +30,9 @@
     "gateway.address": set(),
     "gateway.settings_parser": POLICY_TYPES,
     "gateway.config": POLICY_TYPES | {"gateway.address", "gateway.settings_parser"},
-    "gateway.counter": POLICY_TYPES | CONFIGURATION | {"gateway.counter"},
-    "gateway.discovery": POLICY_TYPES | CONFIGURATION | {"gateway.discovery"},
+    "gateway.backoff": set(),
+    "gateway.counter": POLICY_TYPES | CONFIGURATION | {"gateway.backoff", "gateway.counter"},
+    "gateway.discovery": POLICY_TYPES | CONFIGURATION | {"gateway.backoff", "gateway.discovery"},
     "gateway.upstream": POLICY_TYPES | CONFIGURATION | {"gateway.upstream"},
     "gateway.open_request": POLICY_TYPES | {"gateway.upstream"},
     "gateway.policy_driver": POLICY_TYPES
