--- a/gateway/discovery/client.py
+++ b/gateway/discovery/client.py
@@ -1,4 +1,4 @@
-"""Endpoint discovery as the gateway uses it: every endpoint list and change, from one agent at a time."""
+"""Endpoint discovery as the gateway uses it: every endpoint list and delta, from one agent at a time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 class DiscoveryClient:
     """Watches a discovery agent and calls back with each update and its addresses by endpoint id.
 
-    `first_update` is done once the first complete list has come.
+    Attributes:
+        decoder: Decodes the updates of all watches.
+        first_update: Done once the first update has come.
+        agent_watches: The active watch, then the one that is to replace it, if there is one.
     """
 
     def __init__(self, address: Address, decoder: EndpointDecoder, on_update: UpdateListener) -> None:
@@ -24,20 +27,21 @@
         self.on_update = on_update
         self.loop = asyncio.get_running_loop()
         self.first_update: asyncio.Future[None] = self.loop.create_future()
-        self.agent_watches = [AgentWatch(self, address)]  # the active one, then one that is to replace it
+        self.agent_watches = [AgentWatch(self, address)]
 
     def change_address(self, address: Address) -> None:
         """Watch the agent at another address.
 
-        Updates are taken from the watch before until the complete list of the new agent has come.
+        Updates are taken from the active watch until the complete list of the new agent has come.
         """
-        if address != self.agent_watches[-1].address:
-            for watch in self.agent_watches[1:]:
-                watch.close()
-            self.agent_watches[1:] = [AgentWatch(self, address)]
+        if address == self.agent_watches[-1].address:
+            return
+        for watch in self.agent_watches[1:]:
+            watch.close()
+        self.agent_watches[1:] = [AgentWatch(self, address)]
 
     def is_active(self, watch: AgentWatch) -> bool:
-        """Whether updates are taken from this watch."""
+        """Return whether updates are taken from this watch."""
         return watch is self.agent_watches[0]
 
     def activate(self, watch: AgentWatch) -> None:
@@ -46,7 +50,7 @@
             self.agent_watches.pop(0).close()
 
     def publish(self, decoded: DecodedUpdate) -> None:
-        """Call back with an update."""
+        """Call back with an update and its addresses."""
         self.on_update(decoded.update, decoded.addresses)
         if not self.first_update.done():
             self.first_update.set_result(None)
--- a/gateway/discovery/endpoint_decoder.py
+++ b/gateway/discovery/endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the JSON of endpoint lists and changes into the policy's types, and derives endpoint ids."""
+"""Decodes the JSON of endpoint lists and deltas into the policy's types, and derives endpoint ids."""
 
 from __future__ import annotations
 
@@ -11,18 +11,15 @@
 
 from gateway.address import Address, parse_address
 from gateway.config import format_setting
+from gateway.discovery import endpoint_keys as keys
 from gateway.discovery.errors import MalformedEndpointError, MalformedUpdateError
 from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
 
-STATE_OF_HEALTH = {
-    "Ready": EndpointState.READY,
-    "Terminating": EndpointState.DRAINING,
-    "Gone": EndpointState.GONE,
-}
-HEX_ID_PREFIX = "s"
-HEX_ID_LENGTH = 8
+HEX_ID_PREFIX = "s"  # of a host name that carries the endpoint's id
+HEX_ID_LENGTH = 8  # digits
 HEX_DIGITS = frozenset("0123456789abcdef")
 ENDPOINT_ID_BYTES = 4
+MILLISECONDS_PER_SECOND = 1000
 
 log = logging.getLogger(__name__)
 Value = TypeVar("Value")
@@ -36,7 +33,7 @@
 
 
 class DecodedUpdate(NamedTuple):
-    """An endpoint list or a change to it for the policy, and the addresses by endpoint id."""
+    """An endpoint list or a delta for the policy, and the addresses by endpoint id."""
 
     update: EndpointUpdate
     addresses: dict[int, Address]
@@ -58,6 +55,11 @@
     """Decodes updates, and keeps the host name of each known endpoint id to detect collisions.
 
     Two host names with one id would be taken for one endpoint, so the second of them is left out.
+
+    Attributes:
+        zones: The index of each zone by its name.
+        machine_types: The index of each machine type by its name.
+        host_names: The host name of each known endpoint by its id.
     """
 
     def __init__(self, zones: tuple[str, ...], machine_types: tuple[str, ...]) -> None:
@@ -78,29 +80,37 @@
         except (ValueError, RecursionError) as error:
             raise MalformedUpdateError(f"unreadable JSON: {error}: {reprlib.repr(document)}") from None
 
-    def decode_update(self, raw: Any, cached: bool = False) -> DecodedUpdate:
-        """Decode parsed JSON as an endpoint list or a change; endpoints that cannot be read are left out.
+    def decode_update(self, raw: Any, *, cached: bool = False) -> DecodedUpdate:
+        """Decode parsed JSON as an endpoint list or a delta; endpoints that cannot be read are left out.
+
+        `cached` marks the list that this gateway kept from an earlier run.
 
         Raises:
             MalformedUpdateError: The value is not an update, or no endpoint of a non-empty list can be read:
                 such a list must not remove all endpoints.
         """
-        if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
+        if not isinstance(raw, dict) or not isinstance(raw.get(keys.RECORDS), list):
             raise MalformedUpdateError(f"not an object with a list of hosts: {reprlib.repr(raw)}")
-        kind = _update_kind(raw, cached)
+        kind = _update_kind(raw, cached=cached)
         version = _update_version(raw)
-        previous_host_names = self.host_names
-        if kind is not UpdateKind.DELTA:
-            self.host_names = {}
-        endpoints = self._decode_endpoints(raw["hosts"])
-        if raw["hosts"] and not endpoints and kind is not UpdateKind.DELTA:
-            self.host_names = previous_host_names
-            raise MalformedUpdateError(f"no endpoint of {len(raw['hosts'])} can be read")
+        endpoints = self._decode_endpoints(raw[keys.RECORDS], kind)
         update = EndpointUpdate(kind, version, tuple(endpoint.record for endpoint in endpoints))
         addresses = {endpoint.record.endpoint_id: endpoint.address for endpoint in endpoints}
         return DecodedUpdate(update, addresses)
 
-    def _decode_endpoints(self, hosts: list[Any]) -> list[DecodedEndpoint]:
+    def _decode_endpoints(self, hosts: list[Any], kind: UpdateKind) -> list[DecodedEndpoint]:
+        """Decode the endpoints that can be read; a complete list replaces the known host names."""
+        if kind is UpdateKind.DELTA:
+            return self._decode_readable(hosts)
+        previous_host_names = self.host_names
+        self.host_names = {}
+        endpoints = self._decode_readable(hosts)
+        if hosts and not endpoints:
+            self.host_names = previous_host_names
+            raise MalformedUpdateError(f"no endpoint of {len(hosts)} can be read")
+        return endpoints
+
+    def _decode_readable(self, hosts: list[Any]) -> list[DecodedEndpoint]:
         endpoints = []
         for raw in hosts:
             try:
@@ -122,18 +132,24 @@
         """
         if not isinstance(raw, dict):
             raise MalformedEndpointError(f"not an object: {reprlib.repr(raw)}")
-        state = _read_field(raw, "health", STATE_OF_HEALTH.__getitem__)
-        endpoint_id = self._claim_endpoint_id(_read_field(raw, "host", str))
+        state = _read_field(raw, keys.STATE, keys.STATE_BY_HEALTH.__getitem__)
+        endpoint_id = self._claim_endpoint_id(_read_field(raw, keys.ENDPOINT_NAME, str))
         record = EndpointRecord(
             endpoint_id=endpoint_id,
-            zone=_read_field(raw, "site", lambda name: self.zones[format_setting(name)]),
-            started_at=_read_field(raw, "born_ms", float) / 1000,
+            zone=_read_field(raw, keys.ZONE, self._zone_index),
+            started_at=_read_field(raw, keys.STARTED_AT_MILLISECONDS, float) / MILLISECONDS_PER_SECOND,
             state=state,
-            machine_type=_read_field(raw, "class", lambda name: self.machine_types[format_setting(name)]),
-            cell=_read_field(raw, "block", int),
-            weight=_read_field(raw, "share", float),
+            machine_type=_read_field(raw, keys.MACHINE_TYPE, self._machine_type_index),
+            cell=_read_field(raw, keys.CELL, int),
+            weight=_read_field(raw, keys.WEIGHT, float),
         )
-        return DecodedEndpoint(record, _read_field(raw, "dial", parse_address))
+        return DecodedEndpoint(record, _read_field(raw, keys.ADDRESS, parse_address))
+
+    def _zone_index(self, name: Any) -> int:
+        return self.zones[format_setting(name)]
+
+    def _machine_type_index(self, name: Any) -> int:
+        return self.machine_types[format_setting(name)]
 
     def _claim_endpoint_id(self, name: str) -> int:
         endpoint_id = derive_endpoint_id(name)
@@ -143,26 +159,30 @@
         return endpoint_id
 
 
-def _update_kind(raw: dict[str, Any], cached: bool) -> UpdateKind:
+def _update_kind(raw: dict[str, Any], *, cached: bool) -> UpdateKind:
     if cached:
         return UpdateKind.CACHED
-    return UpdateKind.SNAPSHOT if raw.get("whole") else UpdateKind.DELTA
+    return UpdateKind.SNAPSHOT if raw.get(keys.IS_SNAPSHOT) else UpdateKind.DELTA
 
 
 def _update_version(raw: dict[str, Any]) -> int:
     try:
-        return int(raw["seq"])
+        return int(raw[keys.VERSION])
     except (KeyError, TypeError, ValueError):
-        raise MalformedUpdateError(f"no version number in seq: {reprlib.repr(raw.get('seq'))}") from None
+        value = reprlib.repr(raw.get(keys.VERSION))
+        raise MalformedUpdateError(f"no version number in {keys.VERSION}: {value}") from None
 
 
-def _read_field(raw: dict[str, Any], field: str, convert: Callable[[Any], Value]) -> Value:
-    """Convert one field of an endpoint's JSON object; an error names the field and its value."""
-    if field not in raw:
-        raise MalformedEndpointError(f"host {reprlib.repr(raw.get('host'))} has no {field}")
+def _read_field(raw: dict[str, Any], key: str, convert: Callable[[Any], Value]) -> Value:
+    """Return the converted value of one key of an endpoint; an error names the key and its value."""
+    if key not in raw:
+        raise MalformedEndpointError(f"host {_host(raw)} has no {key}")
     try:
-        return convert(raw[field])
+        return convert(raw[key])
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedEndpointError(
-            f"host {reprlib.repr(raw.get('host'))} has an unusable {field}: {reprlib.repr(raw[field])}"
-        ) from error
+        value = reprlib.repr(raw[key])
+        raise MalformedEndpointError(f"host {_host(raw)} has an unusable {key}: {value}") from error
+
+
+def _host(raw: dict[str, Any]) -> str:
+    return reprlib.repr(raw.get(keys.ENDPOINT_NAME))
--- a/gateway/discovery/errors.py
+++ b/gateway/discovery/errors.py
@@ -1,15 +1,15 @@
-"""What can be wrong with what a discovery agent sends."""
+"""Errors of endpoint discovery."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(Exception):
-    """Base of the errors of endpoint discovery."""
+    """Base of all errors raised in this package."""
 
 
 class MalformedUpdateError(DiscoveryError, ValueError):
-    """An endpoint list or a change to it that cannot be read; the text says what is wrong."""
+    """An endpoint list or a delta cannot be read; the text says what is wrong."""
 
 
 class MalformedEndpointError(MalformedUpdateError):
-    """One endpoint of an update that cannot be read; the others of that update still can."""
+    """One endpoint of an update cannot be read; the others of that update still can."""
--- a/gateway/discovery/json_stream.py
+++ b/gateway/discovery/json_stream.py
@@ -14,19 +14,19 @@
 
     An empty line between documents is returned as an empty document: agents send one as a heartbeat.  A
     document that is never closed ends at an empty line, or before a line that is a complete update by itself,
-    so that the documents behind it are not lost with it.
+    so that the documents after it are not lost with it.
     """
 
     def __init__(self) -> None:
-        self._buffer = b""  # received and not yet returned
-        self._position = 0  # up to where the buffer has been scanned
-        self._document_start = 0  # of the document that is being scanned
-        self._line_start = 0  # of the line that is being scanned
+        self._buffer = b""  # received and not returned yet
+        self._position = 0  # where scanning continues
+        self._document_start = 0  # where the document that is being scanned starts
+        self._line_start = 0  # where the line that is being scanned starts
         self._depth = 0  # brackets that are open at the position
 
     @property
     def buffered_bytes(self) -> int:
-        """The size of the document that is not complete yet, in bytes."""
+        """The size in bytes of the document that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -46,6 +46,7 @@
         return documents
 
     def _next_token(self) -> bytes | None:
+        """Return the next token; None if more bytes are needed to tell what it is."""
         match = TOKEN.search(self._buffer, self._position)
         if match is None:
             self._position = len(self._buffer)
@@ -56,7 +57,9 @@
         return match[0]
 
     def _end_line(self) -> list[bytes]:
-        line_start, self._line_start = self._line_start, self._position
+        """Return the documents that end with the line that ends here."""
+        line_start = self._line_start
+        self._line_start = self._position
         line = self._buffer[line_start : self._position].strip()
         if self._depth <= 0 or not line:
             return [self._take_until(self._position)]
@@ -65,12 +68,15 @@
         return [self._take_until(line_start), self._take_until(self._position)]
 
     def _take_until(self, end: int) -> bytes:
+        """Return the document that ends at a position, and start the next one there."""
         document = self._buffer[self._document_start : end].strip()
-        self._document_start = self._line_start = end
+        self._document_start = end
+        self._line_start = end
         self._depth = 0
         return document
 
     def _discard_taken(self) -> None:
+        """Drop the bytes of the documents that were returned."""
         self._buffer = self._buffer[self._document_start :]
         self._position -= self._document_start
         self._line_start -= self._document_start
@@ -78,11 +84,12 @@
 
 
 def _is_complete_update(line: bytes) -> bool:
-    """Whether a line inside an open document is an update of its own.
+    """Return whether a line inside an open document is an update of its own.
 
-    The line of an indented update may hold a complete object too, one endpoint, but that holds no list.
+    A line of an indented update may be a complete object too, one endpoint, but that contains no list.
     """
-    if not (line.startswith(b"{") and line.endswith(b"}") and b"[" in line):
+    is_object = line.startswith(b"{") and line.endswith(b"}")
+    if not is_object or b"[" not in line:
         return False
     try:
         return isinstance(json.loads(line), dict)
--- a/gateway/discovery/watch_connection.py
+++ b/gateway/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a discovery agent: fetches the complete endpoint list, then watches for changes."""
+"""One connection to a discovery agent: fetches the complete endpoint list, then watches for updates."""
 
 from __future__ import annotations
 
@@ -6,16 +6,15 @@
 import enum
 import logging
 import time
+from http import HTTPStatus
 from typing import Protocol, cast
 
 import httptools
 
+from gateway.discovery import endpoint_keys
 from gateway.discovery.json_stream import JsonStream
 
-# Of one endpoint list or change: room for thousands of endpoints.  A longer one ends the connection.
-MAX_UPDATE_BYTES = 1 << 20
-LIST_TARGET = "/api/targets"
-HTTP_OK = 200
+MAX_UPDATE_BYTES = 1 << 20  # of one endpoint list or delta, enough for thousands of endpoints
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +24,7 @@
 
     CONNECTING = enum.auto()
     FETCHING_SNAPSHOT = enum.auto()  # the complete list has been requested
-    WATCHING = enum.auto()  # the list has been accepted; changes follow
+    WATCHING = enum.auto()  # the list has been accepted; updates follow
     CLOSED = enum.auto()
 
 
@@ -43,11 +42,11 @@
     version: int
 
     def accept_snapshot(self, connection: WatchConnection, document: bytes) -> bool:
-        """Take over a complete endpoint list; return whether it was one."""
+        """Publish a complete endpoint list; return whether the document is one."""
         ...
 
-    def apply_change(self, connection: WatchConnection, document: bytes) -> bool:
-        """Apply what came on the watch; return whether it could be read and was not outdated."""
+    def apply_update(self, connection: WatchConnection, document: bytes) -> bool:
+        """Apply an update of the watch; return whether it could be read and was not outdated."""
         ...
 
     def request_resync(self, connection: WatchConnection) -> None:
@@ -60,22 +59,29 @@
 
 
 class WatchConnection(asyncio.Protocol):
-    """Protocol of one connection; what its bytes mean is up to the HTTP parser and the `JsonStream`.
+    """One connection to an agent; the HTTP parser and the `JsonStream` interpret its bytes.
 
+    The event loop calls the methods of `asyncio.Protocol`, and the HTTP parser the methods named `on_...`.
     The complete list is requested first on each connection, as the version of another connection's list may
     mean nothing to this agent.  The watch is a chunked response of JSON documents.
+
+    Attributes:
+        state: How far the connection has come.
+        closed: Done once the connection has ended.
+        has_received: Whether any byte of the complete list has come.
+        last_received_at: When bytes of the complete list, then a document or a heartbeat of the watch, came
+            last; in monotonic seconds.
     """
 
     def __init__(self, consumer: WatchConsumer, loop: asyncio.AbstractEventLoop) -> None:
         self.state = WatchState.CONNECTING
         self.closed: asyncio.Future[None] = loop.create_future()
-        self.has_received = False  # whether any byte of the complete list has come
-        # By the monotonic clock: of any bytes while the list is fetched, then of a document or heartbeat.
+        self.has_received = False
         self.last_received_at = time.monotonic()
         self._consumer = consumer
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._snapshot = b""  # what has come of the complete list
+        self._snapshot = b""  # the bytes of the complete list so far
         self._documents = JsonStream()
 
     def _enter(self, state: WatchState) -> None:
@@ -84,42 +90,46 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Request the complete list."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        self._transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
         self.last_received_at = time.monotonic()
         self._enter(WatchState.FETCHING_SNAPSHOT)
-        self._send_request(LIST_TARGET)
+        self._send_request(endpoint_keys.SNAPSHOT_TARGET)
 
     def _send_request(self, target: str) -> None:
         assert self._transport is not None
         self._transport.write(f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Feed the HTTP parser, which calls the `on_` methods below."""
+        """Feed the HTTP parser, which calls the `on_...` methods."""
         if self.state is not WatchState.WATCHING:
             self.has_received = True
             self.last_received_at = time.monotonic()
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserError as error:  # the end of a message can't be found any more
+        except httptools.HttpParserError as error:  # the end of the message cannot be found any more
             self._fail(f"malformed response: {error}")
 
     def on_headers_complete(self) -> None:
         """End the connection unless the agent serves the request."""
-        if self._parser.get_status_code() != HTTP_OK:
+        if self._parser.get_status_code() != HTTPStatus.OK:
             self._fail(f"response status {self._parser.get_status_code()}")
 
     def on_body(self, body: bytes) -> None:
         """Collect the complete list, or pass on the documents of the watch that are complete."""
-        if self.state is not WatchState.WATCHING:
-            self._snapshot += body
+        if self.state is WatchState.WATCHING:
+            self._apply_documents(body)
         else:
-            for document in self._documents.feed(body):
-                self.last_received_at = time.monotonic()
-                if document and not self._consumer.apply_change(self, document):
-                    self._consumer.request_resync(self)
+            self._snapshot += body
         if len(self._snapshot) + self._documents.buffered_bytes > MAX_UPDATE_BYTES:
             self._fail(f"an update of more than {MAX_UPDATE_BYTES} bytes")
 
+    def _apply_documents(self, body: bytes) -> None:
+        for document in self._documents.feed(body):
+            self.last_received_at = time.monotonic()
+            is_heartbeat = not document
+            if not is_heartbeat and not self._consumer.apply_update(self, document):
+                self._consumer.request_resync(self)
+
     def on_message_complete(self) -> None:
         """Start the watch once the complete list is accepted; a watch that ends closes the connection."""
         if self._transport is None or self._transport.is_closing():
@@ -131,7 +141,7 @@
         else:
             self._enter(WatchState.WATCHING)
             self._snapshot = b""
-            self._send_request(f"{LIST_TARGET}?watch=1&from={self._consumer.version}")
+            self._send_request(endpoint_keys.WATCH_TARGET.format(version=self._consumer.version))
 
     def _fail(self, reason: str) -> None:
         if self._transport is not None and not self._transport.is_closing():
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from gateway.discovery import endpoint_watch
+from gateway.discovery import connection_set, endpoint_watch
 from tests.discovery.support import PartitionedAgent, discovering, update_json
 from tests.support.harness import async_test
 from tests.support.sockets import FakeDiscoveryAgent, host_line, http_response, run, until
@@ -76,7 +76,7 @@
         agent.whole = update_json(42, complete=True)
         await until(lambda: received.last_version == 42)
         # Sooner than an attempt made before its return would have been given up.
-        assert time.monotonic() - returned_at < endpoint_watch.ATTEMPT_IDLE_TIMEOUT_SECONDS
+        assert time.monotonic() - returned_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
         await until(lambda: agent.open == 1)  # the silent connection has ended
 
 
@@ -119,7 +119,7 @@
 # Guards against a list that keeps coming, in small pieces: it is not waited for, and others are attempted.
 @async_test
 async def test_a_list_that_comes_too_slowly_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_watch, "SNAPSHOT_TIMEOUT_SECONDS", 0.3)
+    monkeypatch.setattr(connection_set, "SNAPSHOT_TIMEOUT_SECONDS", 0.3)
 
     slow_responses = 0
 
@@ -187,7 +187,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             while not reader.at_eof():
                 writer.write(b"1\r\n \r\n")
-                await asyncio.sleep(endpoint_watch.ATTEMPT_IDLE_TIMEOUT_SECONDS / 3)
+                await asyncio.sleep(connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS / 3)
         await reader.read()
 
 
