--- /dev/null
+++ b/gateway/config/__init__.py
@@ -0,0 +1,17 @@
+"""The process configuration: the JSON file that NODE_CONFIG names, as typed values."""
+
+from gateway.config.errors import ConfigError, InvalidValueError, MissingKeyError
+from gateway.config.parser import load_config, parse_config
+from gateway.config.resource_limits import RESERVED_SOCKETS, ResourceLimits
+from gateway.config.values import Config
+
+__all__ = [
+    "RESERVED_SOCKETS",
+    "Config",
+    "ConfigError",
+    "InvalidValueError",
+    "MissingKeyError",
+    "ResourceLimits",
+    "load_config",
+    "parse_config",
+]
--- /dev/null
+++ b/gateway/config/parser.py
@@ -0,0 +1,134 @@
+"""Reads the process configuration from its file and the environment."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+from gateway.address import Address, parse_address
+from gateway.config import keys
+from gateway.config.errors import ConfigError, InvalidValueError
+from gateway.config.resource_limits import ResourceLimits
+from gateway.config.section import Section, check_object, parse_root
+from gateway.config.settings_text import flatten, format_setting
+from gateway.config.values import Config
+from gateway.policy.settings import Settings
+from gateway.settings_parser import parse_settings
+from gateway.settings_reader import SettingsError
+
+MIN_SOCKETS = 64  # fewer leave nothing beside the reserved ones
+MIN_MEMORY_MEGABYTES = 16.0
+
+
+def load_config(env: Mapping[str, str], *, again: bool = False) -> Config:
+    """Return the configuration in the file that NODE_CONFIG names; `again` as for `parse_config`.
+
+    Raises:
+        ConfigError: The file cannot be read, or the configuration cannot be served.
+    """
+    path = env.get(keys.CONFIG_PATH_VARIABLE)
+    if not path:
+        raise ConfigError(f"{keys.CONFIG_PATH_VARIABLE} is not set")
+    try:
+        text = Path(path).read_text(encoding="utf-8")
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigError(f"cannot read the configuration: {error}") from None
+    return parse_config(text, env, again=again)
+
+
+def parse_config(text: str, env: Mapping[str, str], *, again: bool = False) -> Config:
+    """Return the configuration that the text of a file and the environment give.
+
+    Variables of the environment take precedence over the file.  NODE_DISCOVERY does so only when the file is
+    first read: it says where discovery was at the start, so once the file is read `again` the file wins.
+
+    Raises:
+        ConfigError: The configuration cannot be served.
+    """
+    root = parse_root(text)
+    settings_values = root.required(keys.SETTINGS, check_object)
+    settings = _parse_nested_settings(settings_values)
+    settings_section = Section(settings_values, f"{keys.SETTINGS}.")
+    return Config(
+        name=env.get(keys.NAME_VARIABLE) or root.required(keys.NAME, str),
+        listen=_listen_address(root, env),
+        discovery=_discovery_address(root, env, again=again),
+        counter=_counter_address(root, settings),
+        seed=root.required(keys.SEED, _hexadecimal),
+        resource_limits=_resource_limits(root.section(keys.LIMITS)),
+        max_request_units=_max_request_units(settings_section.section(keys.EXTRA)),
+        cached_endpoints=_cached_endpoints(root),
+        settings=settings,
+        machine_types=_machine_types(settings_section),
+        endpoint_idle_timeout=_endpoint_idle_timeout(settings_section),
+    )
+
+
+def _parse_nested_settings(values: dict[str, Any]) -> Settings:
+    try:
+        return parse_settings("\n".join(flatten(values)))
+    except SettingsError as error:
+        raise ConfigError(str(error)) from None
+
+
+def _listen_address(root: Section, env: Mapping[str, str]) -> Address:
+    override = env.get(keys.LISTEN_VARIABLE)
+    if override:
+        return root.convert(keys.LISTEN_VARIABLE, override, parse_address)
+    return root.required(keys.LISTEN, parse_address)
+
+
+def _discovery_address(root: Section, env: Mapping[str, str], *, again: bool) -> Address:
+    address_at_start = env.get(keys.DISCOVERY_VARIABLE)
+    if again:
+        address = root.optional(keys.DISCOVERY, address_at_start)
+        return root.convert(keys.DISCOVERY, address, parse_address)
+    if address_at_start:
+        return root.convert(keys.DISCOVERY_VARIABLE, address_at_start, parse_address)
+    return root.required(keys.DISCOVERY, parse_address)
+
+
+def _counter_address(root: Section, settings: Settings) -> Address | None:
+    address = root.optional(keys.COUNTER)
+    if address:
+        return root.convert(keys.COUNTER, address, parse_address)
+    if settings.has_counter:
+        raise InvalidValueError(keys.COUNTER, f"the settings need an address: {address!r}")
+    return None
+
+
+def _resource_limits(limits: Section) -> ResourceLimits:
+    sockets = limits.required(keys.MAX_SOCKETS, int)
+    memory_mb = limits.required(keys.MEMORY_MEGABYTES, float)
+    if sockets < MIN_SOCKETS:
+        path = f"{keys.LIMITS}.{keys.MAX_SOCKETS}"
+        raise InvalidValueError(path, f"under {MIN_SOCKETS}: {sockets}")
+    if not MIN_MEMORY_MEGABYTES <= memory_mb < float("inf"):
+        path = f"{keys.LIMITS}.{keys.MEMORY_MEGABYTES}"
+        raise InvalidValueError(path, f"under {MIN_MEMORY_MEGABYTES:g}: {memory_mb:g}")
+    return ResourceLimits.of(sockets, memory_mb)
+
+
+def _max_request_units(extra: Section) -> float:
+    units = extra.optional(keys.MAX_REQUEST_UNITS, "inf")
+    return extra.convert(keys.MAX_REQUEST_UNITS, units, float)
+
+
+def _cached_endpoints(root: Section) -> dict[str, Any]:
+    cached = root.optional(keys.CACHED_ENDPOINTS) or {}
+    return root.convert(keys.CACHED_ENDPOINTS, cached, check_object)
+
+
+def _machine_types(settings: Section) -> tuple[str, ...]:
+    found = settings.optional(keys.MACHINE_TYPES, [])
+    names = found if isinstance(found, list) else [found]
+    return tuple(map(format_setting, names))
+
+
+def _endpoint_idle_timeout(settings: Section) -> float:
+    return settings.section(keys.ENDPOINT_LIMITS).required(keys.ENDPOINT_IDLE_TIMEOUT, float)
+
+
+def _hexadecimal(value: object) -> int:
+    return int(str(value), 16)
--- /dev/null
+++ b/gateway/config/resource_limits.py
@@ -0,0 +1,41 @@
+"""What the process may hold at a time, derived from the descriptors and the memory that it is given."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+RESERVED_SOCKETS = 44  # descriptors that are neither client connections nor connections to endpoints
+SURPLUS_CLIENTS_FRACTION = 1 / 16  # of the descriptors, for connections that only get a rejection
+MIN_SURPLUS_CLIENTS = 8  # connections
+BODY_MEMORY_FRACTION = 1 / 8  # of the memory, for the bodies of requests
+BYTES_PER_MEGABYTE = 1 << 20
+
+
+@dataclass(slots=True, frozen=True)
+class ResourceLimits:
+    """What the process may hold at a time.
+
+    Attributes:
+        max_clients: Client connections that are served.
+        surplus_clients: Further client connections that only get a rejection.
+        max_upstream: Connections to endpoints.
+        max_buffered_bytes: Bytes of request bodies.
+    """
+
+    max_clients: int
+    surplus_clients: int
+    max_upstream: int
+    max_buffered_bytes: int
+
+    @classmethod
+    def of(cls, sockets: int, memory_mb: float) -> ResourceLimits:
+        """Divide `sockets` descriptors and `memory_mb` megabytes of memory among the parts of the process."""
+        surplus_clients = max(MIN_SURPLUS_CLIENTS, int(sockets * SURPLUS_CLIENTS_FRACTION))
+        available = sockets - RESERVED_SOCKETS - surplus_clients
+        max_clients = available // 2
+        return cls(
+            max_clients=max_clients,
+            surplus_clients=surplus_clients,
+            max_upstream=available - max_clients,
+            max_buffered_bytes=int(memory_mb * BODY_MEMORY_FRACTION * BYTES_PER_MEGABYTE),
+        )
--- a/gateway/discovery/endpoint_decoder.py
+++ b/gateway/discovery/endpoint_decoder.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple, TypeVar
 
 from gateway.address import Address, parse_address
-from gateway.config import format_setting
+from gateway.config.settings_text import format_setting
 from gateway.discovery import endpoint_keys as keys
 from gateway.discovery.errors import MalformedEndpointError, MalformedUpdateError
 from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
--- a/tests/process/test_settings_parser.py
+++ b/tests/process/test_settings_parser.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from gateway.settings_parser import SettingsError, parse_settings
+from gateway.settings_parser import parse_settings
+from gateway.settings_reader import SettingsError
 from tests.support.policy import settings_text
 
 
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -23,13 +23,16 @@
 FORBIDDEN_IN_POLICY = {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 POLICY_TYPES = {f"gateway.policy.{Path(name).stem}" for name in TYPE_MODULES}
+SETTINGS = {"gateway.settings_parser", "gateway.settings_reader"}
 CONFIGURATION = {"gateway.address", "gateway.config", "gateway.settings_parser"}
 # What the modules of each layer may import of this project; the longest name that fits counts.
 MAY_IMPORT: dict[str, set[str]] = {
     "gateway.policy": {"gateway.policy"},
     "gateway.address": set(),
-    "gateway.settings_parser": POLICY_TYPES,
-    "gateway.config": POLICY_TYPES | {"gateway.address", "gateway.settings_parser"},
+    "gateway.settings_keys": set(),
+    "gateway.settings_parser": POLICY_TYPES | {"gateway.settings_keys", "gateway.settings_reader"},
+    "gateway.settings_reader": set(),
+    "gateway.config": POLICY_TYPES | SETTINGS | {"gateway.address", "gateway.config"},
     "gateway.backoff": set(),
     "gateway.counter": POLICY_TYPES | CONFIGURATION | {"gateway.backoff", "gateway.counter"},
     "gateway.discovery": POLICY_TYPES | CONFIGURATION | {"gateway.backoff", "gateway.discovery"},
