--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""Adapter that hosts instances of the policy for the simulator: batches on stdin, replies on stdout."""
+"""Adapter that hosts instances of the policy for the simulator.
+
+It reads batches from the standard input and writes replies to the standard output.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 from gateway.policy.engine import Policy
 from gateway.settings_parser import parse_settings
-from gateway.simulator import codec
+from gateway.simulator import batch_decoder, reply_encoder
 from gateway.simulator.wire import Batch, Configure, Crash, Fault, WireAction, WireError
 
 EXIT_MALFORMED_INPUT = 1
@@ -16,7 +19,7 @@
 def answer(instances: dict[int, Policy], batch: Batch) -> bytes:
     """Deliver a batch's events to their instances and encode the reply.
 
-    An exception of an instance becomes a fault in the reply; the instance keeps running.
+    An exception of an instance becomes a fault in the reply, and the instance keeps running.
     """
     actions: dict[int, list[WireAction]] = {}
     for instance, event in batch.records:
@@ -31,35 +34,36 @@
                 instance_actions.extend(instances[instance].handle(batch.now, event))
         except Exception as error:  # the simulator reports every failure of the policy
             instance_actions.append(Fault(f"{type(error).__name__}: {error}"))
-    return codec.encode_reply(batch.number, actions.items())
+    return reply_encoder.encode_reply(batch.number, actions.items())
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """The next batch, or None at the end of the input.
+    """Return the next batch, or None at the end of the input.
 
     Raises:
         WireError: The batch is malformed, or the input ends inside it.
     """
-    header = source.read(codec.BATCH_HEADER.size)
+    header_size = batch_decoder.BATCH_HEADER.size
+    header = source.read(header_size)
     if not header:
         return None
-    if len(header) < codec.BATCH_HEADER.size:
+    if len(header) < header_size:
         raise WireError("the input ends inside a header")
-    length = codec.BATCH_HEADER.unpack(header)[1]
-    body_size = length + codec.LENGTH_FIELD_END - codec.BATCH_HEADER.size
+    _, length, _, _ = batch_decoder.BATCH_HEADER.unpack(header)
+    body_size = length + batch_decoder.LENGTH_FIELD_END - header_size
     if body_size < 0:
         raise WireError("the batch's length is shorter than its header")
     body = source.read(body_size)
     if len(body) < body_size:
         raise WireError("the input ends inside a batch")
-    return codec.decode_batch(header, body)
+    return batch_decoder.decode_batch(header, body)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the end of the input.
 
     Raises:
-        WireError: As for ``read_batch``.
+        WireError: A batch is malformed, or the input ends inside one.
     """
     instances: dict[int, Policy] = {}
     while (batch := read_batch(source)) is not None:
@@ -68,11 +72,14 @@
 
 
 def main() -> int:
-    """Serve standard input; returns the exit status.  Malformed input ends it with one line on stderr."""
+    """Serve the standard input, and return the exit status.
+
+    Malformed input ends the adapter with one line on the standard error output.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"simulator adapter: {error}", file=sys.stderr)
+        sys.stderr.write(f"simulator adapter: {error}\n")
         return EXIT_MALFORMED_INPUT
     return 0
 
--- a/gateway/simulator/wire.py
+++ b/gateway/simulator/wire.py
@@ -1,8 +1,9 @@
-"""What the simulator's wire 'quartz-61d8' carries: codes of the records, and the records of its own.
+"""The simulator's wire 'quartz-61d8': the codes of its records, and the records that only this wire has.
 
 A frame is a header and a list of records, all little-endian.  A record starts with a byte that is its code:
 an ``EventCode`` in a batch, which the simulator sends, and an ``ActionCode`` in the reply to it.  One adapter
-hosts many instances of the policy, so a record of its own says to which one the records behind it belong.
+hosts many instances of the policy: a record of the kind INSTANCE names the one to which the records behind it
+belong.
 
 Some events and actions have a meaning on this wire alone; the gateway process neither delivers nor executes
 them: ``AttemptStarted``, ``PeerMessage``, ``SendToPeers``, ``WatchEndpoints`` and ``FetchEndpoints``.  It
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True)
 class Configure:
-    """Starts an instance, or starts it anew: its policy is built from ``settings`` and ``seed``."""
+    """Starts or restarts an instance: its policy is built from ``settings`` and ``seed``."""
 
     seed: int
     settings: str
@@ -84,7 +85,7 @@
 
 @dataclass(slots=True)
 class Batch:
-    """The events of one moment.
+    """The events that happen at one time.
 
     Attributes:
         now: The simulator's time in seconds.
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator codec and its adapter."""
+"""Tests of the simulator's wire and its adapter."""
