--- /dev/null
+++ b/gateway/driver/event_queue.py
@@ -0,0 +1,34 @@
+"""The queue of events for the policy."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+
+from gateway.policy.events import Event
+
+
+class EventQueue:
+    """Processes events one at a time, in the order in which they were delivered."""
+
+    __slots__ = ("_events", "_is_processing", "_process_event")
+
+    def __init__(self, process_event: Callable[[Event], None]) -> None:
+        self._process_event = process_event
+        self._events: deque[Event] = deque()
+        self._is_processing = False
+
+    def deliver(self, event: Event) -> None:
+        """Process an event, and then the events that are delivered while it is processed.
+
+        An event that is delivered while another one is processed is queued behind it.
+        """
+        self._events.append(event)
+        if self._is_processing:
+            return
+        self._is_processing = True
+        try:
+            while self._events:
+                self._process_event(self._events.popleft())
+        finally:
+            self._is_processing = False
--- /dev/null
+++ b/gateway/driver/timers.py
@@ -0,0 +1,38 @@
+"""The timers of the policy."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+
+from gateway.driver.clock import UnixClock
+from gateway.policy.events import Event, TimerFired
+
+MIN_TIMER_SECONDS = 0.001  # the resolution of the event loop's timers
+
+
+class PolicyTimers:
+    """Delivers a ``TimerFired`` event for each timer, never before the timer's time."""
+
+    def __init__(self, clock: UnixClock, deliver: Callable[[Event], None]) -> None:
+        self._clock = clock
+        self._deliver = deliver
+        self._loop = asyncio.get_running_loop()
+
+    def set(self, at: float, token: int) -> None:
+        """Set a timer.
+
+        Args:
+            at: Unix time in seconds at which the timer fires.
+            token: The number by which the policy recognizes the timer.
+        """
+        # The loop counts whole milliseconds of a cached clock and may call early: `_fire` checks the time.
+        delay = math.ceil((at - self._clock.read()) * 1000) / 1000
+        self._loop.call_later(max(MIN_TIMER_SECONDS, delay), self._fire, at, token)
+
+    def _fire(self, at: float, token: int) -> None:
+        if self._clock.read() < at:
+            self.set(at, token)
+        else:
+            self._deliver(TimerFired(token))
--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -9,11 +9,11 @@
 from collections import OrderedDict, deque
 from typing import TYPE_CHECKING, TypeAlias, cast
 
+from gateway.driver.open_request import Response
 from gateway.frontend.errors import FrontendError, UnavailableError
 from gateway.frontend.exchange import Exchange
 from gateway.frontend.http_response import encode_response, error_response
 from gateway.frontend.request_reader import ReceivedRequest, RequestReader
-from gateway.open_request import Response
 
 if TYPE_CHECKING:
     from gateway.frontend.listener import Listener
@@ -154,7 +154,7 @@
             self.eof_received()  # it left behind its request, which may have waited here, as in a stall
             return
         self.enqueue(None)
-        exchange = Exchange(self, request.keep_alive)
+        exchange = Exchange(self, keep_alive=request.keep_alive)
         self.pending.append(exchange)
         try:
             self.handle_request(exchange, request)
--- a/gateway/frontend/exchange.py
+++ b/gateway/frontend/exchange.py
@@ -5,12 +5,12 @@
 import time
 from typing import Protocol
 
+from gateway.driver.open_request import OpenRequest, Response
+from gateway.driver.policy_driver import PolicyDriver
 from gateway.frontend.forwarded_request import ForwardedRequest
 from gateway.frontend.request_metadata import RequestMetadata
 from gateway.frontend.request_reader import ReceivedRequest
-from gateway.open_request import OpenRequest, Response
 from gateway.policy.events import Request
-from gateway.policy_driver import PolicyDriver
 
 
 class ExchangeOwner(Protocol):
@@ -24,12 +24,27 @@
 
 
 class Exchange:
-    """One request and its response, which waits for those before it on its connection."""
-
-    __slots__ = ("buffered_bytes", "client", "keep_alive", "open_request", "request_id", "response")
-
-    def __init__(self, client: ExchangeOwner, keep_alive: bool) -> None:
-        self.client, self.keep_alive = client, keep_alive
+    """One request and its response, which waits for those before it on its connection.
+
+    It is the ``RequestOwner`` of its request once that is submitted.
+    """
+
+    __slots__ = (
+        "buffered_bytes",
+        "client",
+        "deadline",
+        "forwarded_request",
+        "is_write",
+        "keep_alive",
+        "metadata",
+        "open_request",
+        "request_id",
+        "response",
+    )
+
+    def __init__(self, client: ExchangeOwner, *, keep_alive: bool) -> None:
+        self.client = client
+        self.keep_alive = keep_alive
         self.response: Response | None = None
         self.open_request: OpenRequest | None = None  # once the policy has got it
         self.request_id = b""  # as long as it is reserved
@@ -37,18 +52,31 @@
 
     def submit(self, driver: PolicyDriver, request: ReceivedRequest, metadata: RequestMetadata) -> None:
         """Submit the request to the policy."""
-        deadline = request.started_at + metadata.timeout
-        is_write = request.method == b"POST"
-
-        def make_event(request_id: int) -> Request:
-            return Request(
-                request_id, metadata.class_index, metadata.plan_index, metadata.customer,
-                deadline - time.monotonic(), metadata.units, metadata.gateway_set_size,
-                metadata.first_gateway, metadata.is_retry, is_write,
-            )  # fmt: skip
-
-        encode = ForwardedRequest(request).encode
-        self.open_request = driver.submit(make_event, deadline, encode, self.reply, self.release)
+        self.metadata = metadata
+        self.deadline = request.started_at + metadata.timeout
+        self.is_write = request.method == b"POST"
+        self.forwarded_request = ForwardedRequest(request)
+        self.open_request = driver.submit(self, self.deadline)
+
+    def build_event(self, request_id: int) -> Request:
+        """Return the policy's event for the request."""
+        metadata = self.metadata
+        return Request(
+            request_id=request_id,
+            class_index=metadata.class_index,
+            plan_index=metadata.plan_index,
+            customer=metadata.customer,
+            time_remaining=self.deadline - time.monotonic(),
+            units=metadata.units,
+            gateway_set_size=metadata.gateway_set_size,
+            first_gateway=metadata.first_gateway,
+            is_retry=metadata.is_retry,
+            is_write=self.is_write,
+        )
+
+    def encode_for_endpoint(self, timeout: float) -> bytes:
+        """Return the bytes to send to an endpoint, given the attempt's timeout in seconds."""
+        return self.forwarded_request.encode(timeout)
 
     def reply(self, response: Response) -> None:
         """Set the response and write it when its turn has come."""
@@ -56,5 +84,5 @@
         self.client.flush()
 
     def release(self) -> None:
-        """The request is answered and none of its attempts is in flight."""
+        """Free what is held for the request, which is closed and has no attempt in flight."""
         self.client.request_released(self)
--- a/gateway/frontend/http_response.py
+++ b/gateway/frontend/http_response.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from gateway.driver.open_request import Response
 from gateway.frontend.errors import FrontendError
-from gateway.open_request import Response
 
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 
 from gateway.config import Config
+from gateway.driver.policy_driver import PolicyDriver
 from gateway.frontend.client_connection import ClientConnection, ConnectionQueue
 from gateway.frontend.errors import DuplicateRequestIdError, RequestTimeoutError, UnavailableError
 from gateway.frontend.request_metadata import RequestMetadataParser
-from gateway.policy_driver import PolicyDriver
 
 BACKLOG = 1024  # connections that the system keeps until they are accepted
 READ_TIMEOUT_SECONDS = 2.3  # for a request to be complete, the first one counted from connecting
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -14,10 +14,10 @@
 from gateway.counter.client import CounterClient
 from gateway.discovery.client import DiscoveryClient
 from gateway.discovery.endpoint_decoder import EndpointDecoder
+from gateway.driver.policy_driver import PolicyDriver
 from gateway.frontend.listener import Listener
 from gateway.policy.engine import Policy
 from gateway.policy.settings import Settings
-from gateway.policy_driver import PolicyDriver
 from gateway.upstream.client import UpstreamClient
 
 # Start.  Both waits are short: a counter or an agent that is down must not keep the process from serving.
@@ -87,7 +87,7 @@
         self.listener.stop_listening()
         drain_deadline = started_at + self.drain_timeout
         await self._complete_requests(drain_deadline)
-        self.driver.close_open_requests()
+        self.driver.open_requests.close_all()
         self.listener.reject_incomplete_requests()
         await self._flush_responses(drain_deadline + FLUSH_SECONDS)
         await self.close()
@@ -116,7 +116,7 @@
 
     async def _complete_requests(self, deadline: float) -> None:
         """Serve what is open; a request that has come in part is served too once the rest of it comes."""
-        while self.driver.unanswered or self.listener.has_incoming_requests():
+        while self.driver.open_requests.unanswered or self.listener.has_incoming_requests():
             if time.monotonic() >= deadline:
                 return
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
@@ -147,7 +147,7 @@
     settings = config.settings
     driver = PolicyDriver(Policy(settings, config.seed), upstream)
     if settings.has_counter and config.counter is not None:
-        driver.counter = CounterClient(config.counter, settings.counter_timeout, driver.deliver)
+        driver.use_counter(CounterClient(config.counter, settings.counter_timeout, driver.deliver))
     return driver
 
 
--- /dev/null
+++ b/tests/driver/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `gateway.driver`."""
--- a/tests/frontend/test_http_response.py
+++ b/tests/frontend/test_http_response.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from gateway.driver.open_request import Response
 from gateway.frontend.errors import (
     BadRequestError,
     BodyTooLargeError,
@@ -14,7 +15,6 @@
     UnknownRequestClassError,
 )
 from gateway.frontend.http_response import encode_response, error_response
-from gateway.open_request import Response
 
 
 @pytest.mark.parametrize(
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -32,7 +32,11 @@
     ):
         with connected(gateway) as client:
             await send_four_requests(gateway, client)
-            await until(lambda: gateway.listener.has_unsent_responses() and gateway.driver.unanswered == 1)
+            await until(
+                lambda: (
+                    gateway.listener.has_unsent_responses() and gateway.driver.open_requests.unanswered == 1
+                )
+            )
         await until(lambda: policy.of(ClientDisconnected))
         assert not gateway.driver.open_requests
 
@@ -51,7 +55,11 @@
     ):
         with connected(gateway) as client:
             await send_four_requests(gateway, client, high)
-            await until(lambda: gateway.listener.has_unsent_responses() and gateway.driver.unanswered == 1)
+            await until(
+                lambda: (
+                    gateway.listener.has_unsent_responses() and gateway.driver.open_requests.unanswered == 1
+                )
+            )
             client.shutdown(socket.SHUT_WR)
             began = time.monotonic()
             await until(lambda: policy.of(ClientDisconnected))
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -37,7 +37,7 @@
         assert gateway.policy.outcomes() == [Outcome.TIMEOUT]
         assert len(gateway.policy.of(ClientDisconnected)) == 1
         assert not gateway.process.driver.open_requests
-        assert gateway.process.driver.unanswered == 0
+        assert gateway.process.driver.open_requests.unanswered == 0
 
 
 @async_test
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -90,7 +90,11 @@
         gateway.drain_timeout = 10.0
         with connected(gateway) as client:
             await send_four_requests(gateway, client)
-            await until(lambda: gateway.listener.has_unsent_responses() and not gateway.driver.unanswered)
+            await until(
+                lambda: (
+                    gateway.listener.has_unsent_responses() and not gateway.driver.open_requests.unanswered
+                )
+            )
             drained = asyncio.create_task(gateway.drain())
             done, _ = await asyncio.wait([drained], timeout=0.3)  # it may not end: nothing is read
             assert not done
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -137,7 +137,8 @@
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             copies: list[Action] = [StartAttempt(event.request_id, 2, 0.0)]
-            if event.request_id > 1:
+            is_warm_up = how == "resting" and event.request_id == 1
+            if not is_warm_up:
                 copies.append(
                     Reject(event.request_id, 0.0)
                     if how == "given up"
@@ -157,7 +158,6 @@
             assert (await client.ask(Request_Id="warm")).status == 200
             monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
         else:
-            gateway.driver.last_request_id = 1
             gated_loop = gate_connections(gateway)
             gated_loop.open_for = gateway.driver.upstream.pools[FIRST].address.port
         waiting = asyncio.create_task(client.ask(Request_Id="once"))
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -33,18 +33,17 @@
     "gateway.counter": POLICY_TYPES | CONFIGURATION | {"gateway.counter"},
     "gateway.discovery": POLICY_TYPES | CONFIGURATION | {"gateway.discovery"},
     "gateway.upstream": POLICY_TYPES | CONFIGURATION | {"gateway.upstream"},
-    "gateway.open_request": POLICY_TYPES | {"gateway.upstream"},
-    "gateway.policy_driver": POLICY_TYPES
+    "gateway.driver": POLICY_TYPES
     | CONFIGURATION
-    | {"gateway.policy.engine", "gateway.counter", "gateway.open_request", "gateway.upstream"},
-    "gateway.frontend": POLICY_TYPES
-    | CONFIGURATION
-    | {"gateway.policy_driver", "gateway.open_request", "gateway.frontend"},
+    | {"gateway.policy.engine", "gateway.counter", "gateway.driver", "gateway.upstream"},
+    "gateway.driver.clock": set(),
+    "gateway.driver.event_queue": POLICY_TYPES,  # it knows neither HTTP nor sockets
+    "gateway.frontend": POLICY_TYPES | CONFIGURATION | {"gateway.driver", "gateway.frontend"},
     "gateway.log_setup": set(),
     "gateway.process": POLICY_TYPES
     | CONFIGURATION
     | {"gateway.counter", "gateway.discovery", "gateway.frontend", "gateway.policy.engine"}
-    | {"gateway.policy_driver", "gateway.upstream"},
+    | {"gateway.driver", "gateway.upstream"},
     "gateway.__main__": {"gateway.config", "gateway.log_setup", "gateway.process"},
     "gateway.simulator": {"gateway.policy", "gateway.settings_parser", "gateway.simulator"},
     "gateway": set(),  # the package itself
