--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -17,13 +17,13 @@
 
 from gateway.config import ConfigError
 from gateway.log_setup import configure_logging
-from gateway.process import serve
+from gateway.serve import serve
 
 EXIT_UNUSABLE_CONFIGURATION = 2
 
 
 def main() -> int:
-    """Run the gateway; returns the exit status.
+    """Run the gateway and return the exit status.
 
     A configuration that cannot be served ends the process with one line on standard error.
     """
@@ -31,7 +31,7 @@
     try:
         uvloop.run(serve(os.environ))
     except ConfigError as error:
-        print(f"gateway: {' '.join(str(error).split())}", file=sys.stderr)
+        sys.stderr.write(f"gateway: {' '.join(str(error).split())}\n")
         return EXIT_UNUSABLE_CONFIGURATION
     return 0
 
--- a/gateway/frontend/http_response.py
+++ b/gateway/frontend/http_response.py
@@ -6,13 +6,20 @@
 from gateway.frontend.errors import FrontendError
 
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
-    413: "Content Too Large", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
-}  # fmt: skip
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
 
 
-def encode_response(response: Response, close: bool) -> bytes:
-    """Return the bytes of a response; `close` announces that it is the last one on its connection."""
+def encode_response(response: Response, *, close: bool) -> bytes:
+    """Return the bytes of a response; ``close`` announces that it is the last one on its connection."""
     head = (
         f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\nContent-Length: {len(response.body)}\r\n"
     )
--- /dev/null
+++ b/gateway/frontend/wait_queue.py
@@ -0,0 +1,42 @@
+"""A queue of what waits, with the time since when."""
+
+from __future__ import annotations
+
+import time
+from collections import OrderedDict
+from collections.abc import Iterator
+from typing import Generic, TypeVar
+
+WaiterT = TypeVar("WaiterT")
+
+
+class WaitQueue(Generic[WaiterT]):
+    """Waiters in the order in which they began to wait.
+
+    Attributes:
+        waiting_since: Monotonic time in seconds at which each waiter began to wait, the longest wait first.
+    """
+
+    __slots__ = ("waiting_since",)
+
+    def __init__(self) -> None:
+        self.waiting_since: OrderedDict[WaiterT, float] = OrderedDict()
+
+    def __len__(self) -> int:
+        return len(self.waiting_since)
+
+    def __iter__(self) -> Iterator[WaiterT]:
+        return iter(self.waiting_since)
+
+    @property
+    def oldest(self) -> WaiterT | None:
+        """The waiter that has waited longest; None if none waits."""
+        return next(iter(self.waiting_since), None)
+
+    def add(self, waiter: WaiterT) -> None:
+        """Add a waiter that begins to wait now."""
+        self.waiting_since[waiter] = time.monotonic()
+
+    def discard(self, waiter: WaiterT) -> None:
+        """Remove a waiter if it is in the queue."""
+        self.waiting_since.pop(waiter, None)
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -36,14 +36,14 @@
         assert (await read_message(gateway.client.reader)).status == 413
         assert await gateway.client.reader.read() == b""
         assert not gateway.policy.events
-        assert gateway.process.listener.buffered_bytes == 0
+        assert gateway.process.listener.budget.buffered_bytes == 0
 
 
 # Guards against taking a request whose response can no longer be sent.
 @async_test
 async def test_no_request_is_taken_behind_the_last_response(caplog: pytest.LogCaptureFixture) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
-        gateway.process.listener.max_connections = 0
+        gateway.process.listener.connection_table.max_connections = 0
         gateway.client.writer.write(gateway.client.request() + gateway.client.request())
         assert (await read_message(gateway.client.reader)).status == 503
         assert await gateway.client.reader.read() == b""
--- a/tests/frontend/test_http_response.py
+++ b/tests/frontend/test_http_response.py
@@ -35,7 +35,7 @@
     ],
 )
 def test_encoded_response(response: Response, close: bool, encoded: bytes) -> None:
-    assert encode_response(response, close) == encoded
+    assert encode_response(response, close=close) == encoded
 
 
 @pytest.mark.parametrize(
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -119,7 +119,7 @@
         assert (await gateway.client.ask(X_Call_Terms=terms)).status == 400
         assert await gateway.client.reader.read() == b""
         assert not gateway.policy.events
-        assert not gateway.process.listener.open_request_ids
+        assert not gateway.process.listener.budget.open_request_ids
 
 
 @pytest.mark.parametrize(
--- a/tests/process/raw_client.py
+++ b/tests/process/raw_client.py
@@ -33,12 +33,13 @@
 
 async def send_four_requests(gateway: GatewayProcess, client: socket.socket, high: int | None = None) -> None:
     """Send four requests at once, on a connection whose socket buffers hold few bytes of the responses."""
-    await until(lambda: gateway.listener.connections)
-    (served,) = gateway.listener.connections
-    assert served.transport is not None
-    inner = served.transport.get_extra_info("socket")
+    await until(lambda: gateway.listener.connection_table.connections)
+    (served,) = gateway.listener.connection_table.connections
+    transport = served.socket.transport
+    assert transport is not None
+    inner = transport.get_extra_info("socket")
     inner.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     asked = b"".join(REQUEST + b"%d\r\n\r\n" % number for number in range(4))
-    served.transport.set_write_buffer_limits(high)
+    transport.set_write_buffer_limits(high)
     await asyncio.get_running_loop().sock_sendall(client, asked)
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from gateway.frontend.client_connection import MAX_PIPELINED_REQUESTS, ClientConnection
-from gateway.frontend.listener import IDLE_TIMEOUT_SECONDS
+from gateway.frontend.connection_table import IDLE_TIMEOUT_SECONDS
 from gateway.frontend.request_reader import MAX_BODY_BYTES
 from gateway.policy.actions import Action, Fail, Reject
 from gateway.policy.events import ClientDisconnected, Request
@@ -33,8 +33,8 @@
 
     Returns the gateway's side of the connection, which is not read any more, and the number of requests.
     """
-    (connection,) = gateway.process.listener.connections
-    transport = connection.transport
+    (connection,) = gateway.process.listener.connection_table.connections
+    transport = connection.socket.transport
     assert transport is not None
     request_count = 0
 
@@ -96,8 +96,9 @@
     endpoint = endpoint_with_largest_body()
     async with gateway_with_client(endpoint) as gateway:
         connection, _ = await request_until_not_read(gateway, endpoint)
-        connection.queued_since -= IDLE_TIMEOUT_SECONDS
-        await until(lambda: not gateway.process.listener.connections)
+        assert connection.queue is not None
+        connection.queue.waiting_since[connection] -= IDLE_TIMEOUT_SECONDS
+        await until(lambda: not gateway.process.listener.connection_table.connections)
 
 
 @async_test
@@ -119,7 +120,7 @@
 @async_test
 async def test_surplus_clients_are_rejected() -> None:
     async with running_gateway(UNREACHABLE, react=lambda _: []) as (process, policy):
-        process.listener.max_connections = 2
+        process.listener.connection_table.max_connections = 2
         async with HttpClient(process.listener) as first, HttpClient(process.listener) as second:
             for client in (first, second):
                 client.writer.write(client.request())
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -34,7 +34,8 @@
             await send_four_requests(gateway, client)
             await until(
                 lambda: (
-                    gateway.listener.has_unsent_responses() and gateway.driver.open_requests.unanswered == 1
+                    gateway.listener.connection_table.has_unsent_responses()
+                    and gateway.driver.open_requests.unanswered == 1
                 )
             )
         await until(lambda: policy.of(ClientDisconnected))
@@ -57,14 +58,17 @@
             await send_four_requests(gateway, client, high)
             await until(
                 lambda: (
-                    gateway.listener.has_unsent_responses() and gateway.driver.open_requests.unanswered == 1
+                    gateway.listener.connection_table.has_unsent_responses()
+                    and gateway.driver.open_requests.unanswered == 1
                 )
             )
             client.shutdown(socket.SHUT_WR)
             began = time.monotonic()
             await until(lambda: policy.of(ClientDisconnected))
             assert time.monotonic() - began < 0.5
-        await until(lambda: not gateway.listener.connections and not gateway.driver.open_requests)
+        await until(
+            lambda: not gateway.listener.connection_table.connections and not gateway.driver.open_requests
+        )
 
 
 # Guards against attempts for a client that sent one request, or many at once, and disconnected before they
@@ -74,10 +78,10 @@
 async def test_no_attempt_is_started_for_a_client_that_disconnected_before_it_was_read(count: int) -> None:
     async with running_gateway("127.0.0.1:1", react=send_on) as (gateway, policy):
         with connected(gateway) as client:
-            await until(lambda: gateway.listener.connections)
+            await until(lambda: gateway.listener.connection_table.connections)
             for number in range(count):  # no step of the loop lies between these and the close
                 assert client.send(REQUEST + b"%d\r\n\r\n" % number)
-        await until(lambda: not gateway.listener.connections)
+        await until(lambda: not gateway.listener.connection_table.connections)
         assert not policy.events
         assert not gateway.driver.open_requests
-        assert not gateway.listener.open_request_ids
+        assert not gateway.listener.budget.open_request_ids
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from gateway.frontend.client_connection import ClientConnection
 from tests.process.raw_client import REQUEST, connected, read_all, send_four_requests
 from tests.support.harness import async_test
 from tests.support.sockets import FakeEndpoint, http_response, listening, running_gateway, send_on, until
@@ -26,16 +25,16 @@
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(client, REQUEST + b"one\r\n\r\n")
             assert b" 200 OK" in await loop.sock_recv(client, 1 << 16)
-            await until(lambda: listener.idle_connections)
-            (idle,) = listener.idle_connections
+            await until(lambda: listener.connection_table.idle_connections)
+            (idle,) = listener.connection_table.idle_connections
             assert client.send(REQUEST + b"two\r\n\r\n")  # no step of the loop lies between these
             if how == "drain":
                 listener.stop_listening()
             elif how == "idle":
-                idle.queued_since = float("-inf")
-                listener.close_overdue_connections()
+                listener.connection_table.idle_connections.waiting_since[idle] = float("-inf")
+                listener.connection_table.close_overdue_connections()
             else:
-                assert listener.choose_evicted(ClientConnection(listener)) is not idle
+                assert listener.connection_table.choose_evicted(listener.create_connection()) is not idle
             response = b""
             while b"done" not in response:
                 part = await loop.sock_recv(client, 1 << 16)
@@ -50,7 +49,7 @@
 async def test_an_incomplete_request_gets_a_response_before_the_process_ends(
     whole: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
+    monkeypatch.setattr("gateway.shutdown.SHUTDOWN_ACCEPT_SECONDS", 0.0)
 
     endpoint = FakeEndpoint()
     async with (
@@ -60,10 +59,14 @@
         with connected(gateway) as client:
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(client, REQUEST + b"half")
-            await until(lambda: any(c.is_receiving for c in gateway.listener.new_connections))
+            await until(
+                lambda: any(
+                    client.reader.is_receiving for client in gateway.listener.connection_table.new_connections
+                )
+            )
             gateway.drain_timeout = 10.0 if whole else 0.1
             drained = asyncio.create_task(gateway.drain())
-            await until(lambda: gateway.listener.stopping)
+            await until(lambda: gateway.listener.connection_table.is_stopping)
             await asyncio.sleep(0)
             if whole:
                 assert not drained.done()
@@ -78,8 +81,8 @@
 # Guards against a shutdown that cuts off the last responses of clients that read slowly.
 @async_test
 async def test_shutdown_waits_for_unsent_responses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gateway.process.SHUTDOWN_ACCEPT_SECONDS", 0.0)
-    monkeypatch.setattr("gateway.process.FLUSH_SECONDS", 0.1)
+    monkeypatch.setattr("gateway.shutdown.SHUTDOWN_ACCEPT_SECONDS", 0.0)
+    monkeypatch.setattr("gateway.shutdown.FLUSH_SECONDS", 0.1)
 
     body = b"x" * 60_000
     endpoint = FakeEndpoint(lambda _message: http_response(body=body))
@@ -92,7 +95,8 @@
             await send_four_requests(gateway, client)
             await until(
                 lambda: (
-                    gateway.listener.has_unsent_responses() and not gateway.driver.open_requests.unanswered
+                    gateway.listener.connection_table.has_unsent_responses()
+                    and not gateway.driver.open_requests.unanswered
                 )
             )
             drained = asyncio.create_task(gateway.drain())
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -119,7 +119,7 @@
             await until(lambda: gated_loop.connects == 1)
         await until(lambda: policy.outcomes() == [Outcome.NOT_STARTED])
         assert not gateway.driver.open_requests
-        assert not gateway.listener.open_request_ids
+        assert not gateway.listener.budget.open_request_ids
         gated_loop.open.set()
         await until(lambda: gateway.driver.upstream.pools[FIRST].idle)  # opened anyway, it is kept
         async with HttpClient(gateway.listener) as client:
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -40,11 +40,13 @@
     "gateway.driver.event_queue": POLICY_TYPES,  # it knows neither HTTP nor sockets
     "gateway.frontend": POLICY_TYPES | CONFIGURATION | {"gateway.driver", "gateway.frontend"},
     "gateway.log_setup": set(),
+    "gateway.shutdown": POLICY_TYPES | {"gateway.driver", "gateway.frontend"},
     "gateway.process": POLICY_TYPES
     | CONFIGURATION
     | {"gateway.counter", "gateway.discovery", "gateway.frontend", "gateway.policy.engine"}
-    | {"gateway.driver", "gateway.upstream"},
-    "gateway.__main__": {"gateway.config", "gateway.log_setup", "gateway.process"},
+    | {"gateway.driver", "gateway.shutdown", "gateway.upstream"},
+    "gateway.serve": {"gateway.config", "gateway.process"},
+    "gateway.__main__": {"gateway.config", "gateway.log_setup", "gateway.serve"},
     "gateway.simulator": {"gateway.policy", "gateway.settings_parser", "gateway.simulator"},
     "gateway": set(),  # the package itself
     "scaletest": {"gateway.policy", "scaletest"},
