--- a/gateway/frontend/__init__.py
+++ b/gateway/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The server side: HTTP/1.1 connections of clients, their requests and the responses to them."""
+"""The server side: HTTP/1.1 connections of clients, their requests and their responses."""
--- a/gateway/frontend/errors.py
+++ b/gateway/frontend/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end in a response to the client: the status is the type's, the text is sent as the body."""
+"""Errors for which the gateway itself sends a response: the type gives its status, the text its body."""
 
 from __future__ import annotations
 
@@ -6,10 +6,15 @@
 
 
 class FrontendError(Exception):
-    """Base of the errors for which a client gets a response of this side's own."""
+    """Base of the errors for which the gateway itself sends a response.
+
+    Attributes:
+        status: HTTP status of the response.
+        retry_after: Seconds after which the client may retry; 0 leaves the header out.
+    """
 
     status: ClassVar[int]
-    retry_after: ClassVar[float] = 0.0  # seconds; 0 leaves the header out
+    retry_after: ClassVar[float] = 0.0
 
 
 class BadRequestError(FrontendError):
@@ -31,7 +36,7 @@
 
 
 class DuplicateRequestIdError(FrontendError):
-    """A request with this Request-Id is still open."""
+    """Another request with the same Request-Id is open."""
 
     status = 409
 
@@ -43,7 +48,7 @@
 
 
 class UnavailableError(FrontendError):
-    """The request was rejected without having run, for a limit of this process or its end."""
+    """A limit or the end of this process rejects the request, which has not run."""
 
     status = 503
     retry_after = 1.0
--- a/gateway/frontend/forwarded_request.py
+++ b/gateway/frontend/forwarded_request.py
@@ -1,29 +1,45 @@
-"""The request as it goes to an endpoint."""
+"""The request as it is sent to an endpoint."""
 
 from __future__ import annotations
 
+from gateway.frontend import wire_names
 from gateway.frontend.request_reader import ReceivedRequest
 
 NOT_FORWARDED = frozenset(  # hop-by-hop headers, and those that are written anew
-    b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer"
-    b" transfer-encoding upgrade expect content-length request-timeout".split()
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        wire_names.CONTENT_LENGTH,
+        wire_names.EXPECT,
+        wire_names.TIMEOUT,
+    }
 )
+MIN_TIMEOUT_MILLISECONDS = 1
 
 
 class ForwardedRequest:
-    """A client's request without what concerns its connection alone."""
+    """A client's request without the headers that concern its connection alone."""
 
-    __slots__ = ("body", "head")
+    __slots__ = ("_body", "_head")
 
     def __init__(self, request: ReceivedRequest) -> None:
-        head = b"%s %s HTTP/1.1\r\n" % (request.method, request.target) + b"".join(
-            b"%s: %s\r\n" % header for header in request.headers if header[0] not in NOT_FORWARDED
+        head = b"%s %s HTTP/1.1\r\n" % (request.method, request.target)
+        head += b"".join(
+            b"%s: %s\r\n" % (name, value) for name, value in request.headers if name not in NOT_FORWARDED
         )
         if request.method == b"POST" or request.body:
             head += b"Content-Length: %d\r\n" % len(request.body)
-        self.head, self.body = head, request.body
+        self._head = head
+        self._body = request.body
 
-    def encode(self, time_remaining: float) -> bytes:
-        """Return the bytes for an attempt that has this many seconds."""
-        milliseconds = max(1, int(time_remaining * 1000))
-        return b"%sRequest-Timeout: %dm\r\n\r\n%s" % (self.head, milliseconds, self.body)
+    def encode(self, timeout: float) -> bytes:
+        """Return the bytes to send for an attempt with a timeout in seconds."""
+        milliseconds = max(MIN_TIMEOUT_MILLISECONDS, int(timeout * 1000))
+        return b"%sRequest-Timeout: %dm\r\n\r\n%s" % (self._head, milliseconds, self._body)
--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -7,29 +7,54 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
+from gateway.frontend import wire_names
 from gateway.frontend.errors import BadRequestError, UnknownRequestClassError
 from gateway.policy.settings import Effect, RequestClass, Settings
 
 CUSTOMER_ID_LIMIT = 1 << 33  # ids are below it
 MAX_CALL_TERMS_BYTES = 96  # longer ones would also fill the cache
+CALL_TERMS_CACHE_SIZE = 256  # entries
 MAX_QUERY_FIELDS = 32
+MILLISECONDS_PER_SECOND = 1e3
+MICROSECONDS_PER_SECOND = 1e6
 UNIQUE_HEADERS = frozenset(
-    b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
-    b" client-retry".split()
+    {
+        wire_names.CALL_TERMS,
+        wire_names.CLIENT_RETRY,
+        wire_names.CONTENT_LENGTH,
+        wire_names.HOST,
+        wire_names.IDEMPOTENCY_KEY,
+        wire_names.PLAN,
+        wire_names.REQUEST_CLASS,
+        wire_names.REQUEST_ID,
+        wire_names.TIMEOUT,
+    }
 )
-TARGET = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
-TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")  # in milliseconds or microseconds
-CUSTOMER_QUERY = re.compile(rb"customer=([0-9a-fA-F]{16})")
-CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
-REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
-IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
-UNITS = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
-GATEWAY_NUMBER = re.compile(r"\d{1,9}", re.ASCII)
+TARGET_PATTERN = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
+TIMEOUT_PATTERN = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")  # in milliseconds or microseconds
+CUSTOMER_QUERY_PATTERN = re.compile(rb"customer=([0-9a-fA-F]{16})")
+CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+REQUEST_ID_PATTERN = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
+IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-~]{1,128}")
+UNITS_PATTERN = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
+GATEWAY_NUMBER_PATTERN = re.compile(r"\d{1,9}", re.ASCII)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestMetadata:
-    """What a request's target and headers tell; `timeout` is in seconds."""
+    """The metadata that a request's target and headers carry.
+
+    Attributes:
+        request_id: The client's id for the request.
+        class_index: Index of the request class in the settings.
+        plan_index: Index of the customer's plan in the settings.
+        customer: The customer's id.
+        timeout: Seconds from the start of the request that the client waits.
+        units: Units that the request consumes from a rate quota.
+        gateway_set_size: How many gateways the customer's requests come through.
+        first_gateway: Index of the first of these gateways.
+        is_retry: Whether the client has sent the request before.
+    """
 
     request_id: bytes
     class_index: int
@@ -44,86 +69,137 @@
 
 @dataclass(slots=True, frozen=True)
 class CallTerms:
-    """The fields of X-Call-Terms."""
+    """The fields of the X-Call-Terms header, as in `RequestMetadata`."""
 
     units: float
     gateway_set_size: int
     first_gateway: int
 
 
-@functools.lru_cache(maxsize=256)  # few distinct ones come
+@functools.lru_cache(maxsize=CALL_TERMS_CACHE_SIZE)
 def parse_call_terms(text: bytes) -> CallTerms:
-    """Parse X-Call-Terms."""
+    """Parse the X-Call-Terms header.
+
+    Raises:
+        BadRequestError: The header is malformed.
+    """
+    values = _split_call_terms(text)
     try:
-        pairs = [part.split("=", 1) for part in text.decode("ascii").replace(" ", "").split(",")]
-        values = {key: value for key, value in pairs}  # noqa: C416  # a part without "=" is a ValueError
-        units, spread, first = values["units"], values["spread"], values["first"]
-    except (KeyError, ValueError):
+        units = values[wire_names.UNITS]
+        gateway_set_size = values[wire_names.GATEWAY_SET_SIZE]
+        first_gateway = values[wire_names.FIRST_GATEWAY]
+    except KeyError:
         raise BadRequestError("malformed X-Call-Terms") from None
-    if len(values) != len(pairs) or not (
-        UNITS.fullmatch(units) and GATEWAY_NUMBER.fullmatch(spread) and GATEWAY_NUMBER.fullmatch(first)
-    ):
+    is_valid = (
+        UNITS_PATTERN.fullmatch(units)
+        and GATEWAY_NUMBER_PATTERN.fullmatch(gateway_set_size)
+        and GATEWAY_NUMBER_PATTERN.fullmatch(first_gateway)
+    )
+    if not is_valid:
         raise BadRequestError("malformed X-Call-Terms")
-    return CallTerms(float(units), int(spread), int(first))
+    return CallTerms(float(units), int(gateway_set_size), int(first_gateway))
+
+
+def _split_call_terms(text: bytes) -> dict[str, str]:
+    """Return the fields of the X-Call-Terms header by name."""
+    try:
+        parts = text.decode("ascii").replace(" ", "").split(",")
+    except UnicodeDecodeError:
+        raise BadRequestError("malformed X-Call-Terms") from None
+    values: dict[str, str] = {}
+    for part in parts:
+        name, separator, value = part.partition("=")
+        if not separator or name in values:
+            raise BadRequestError("malformed X-Call-Terms")
+        values[name] = value
+    return values
 
 
 def parse_timeout(text: bytes) -> float:
-    """Return Request-Timeout in seconds."""
-    match = TIMEOUT.fullmatch(text)
+    """Return the seconds that the Request-Timeout header names.
+
+    Raises:
+        BadRequestError: The header is malformed.
+    """
+    match = TIMEOUT_PATTERN.fullmatch(text)
     if match is None:
         raise BadRequestError("malformed Request-Timeout")
-    number = float(match[1] + b"." + (match[2] or b"0"))
-    return number / (1e3 if match[3] == b"m" else 1e6)
+    whole, fraction, unit = match.groups()
+    number = float(whole + b"." + (fraction or b"0"))
+    return number / (MILLISECONDS_PER_SECOND if unit == b"m" else MICROSECONDS_PER_SECOND)
 
 
 def parse_customer(query: bytes) -> int:
     """Return the customer's id.
 
-    A second one, also one with an escaped name, could be read differently here and at an endpoint.  The usual
-    query, with nothing else in it, does without the general parser, which takes several times as long.
+    A query with two customers, also with an escaped name, could be read differently here and at an endpoint.
+    The usual query, with nothing else in it, does not need the general parser, which is slower.
+
+    Raises:
+        BadRequestError: The query is malformed, or does not name exactly one customer.
     """
-    if (match := CUSTOMER_QUERY.fullmatch(query)) is not None:
+    match = CUSTOMER_QUERY_PATTERN.fullmatch(query)
+    if match is not None:
         return check_customer(int(match[1], 16))
     try:
-        fields = parse_qsl(query.decode("ascii"), True, max_num_fields=MAX_QUERY_FIELDS)
+        fields = parse_qsl(query.decode("ascii"), keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
     except ValueError:
         raise BadRequestError("malformed query") from None
-    found = [value for key, value in fields if key == "customer"]
-    if len(found) != 1 or not CUSTOMER.fullmatch(found[0]):
+    customers = [value for name, value in fields if name == wire_names.CUSTOMER]
+    if len(customers) != 1 or not CUSTOMER_PATTERN.fullmatch(customers[0]):
         raise BadRequestError("malformed customer")
-    return check_customer(int(found[0], 16))
+    return check_customer(int(customers[0], 16))
 
 
 def check_customer(customer: int) -> int:
-    """Check the range of a customer's id."""
+    """Return a customer's id if it is in range.
+
+    Raises:
+        BadRequestError: The id is out of range.
+    """
     if customer >= CUSTOMER_ID_LIMIT:
         raise BadRequestError("malformed customer")
     return customer
 
 
 def split_target(target: bytes) -> tuple[bytes, bytes]:
-    """Return the first segment of the path, which names the request class, and the query."""
-    match = TARGET.fullmatch(target)
-    if match is None or (b"/." in match[1] and {b".", b".."} & set(match[1].split(b"/"))):
+    """Return the first segment of the path, which names the request class, and the query.
+
+    Raises:
+        BadRequestError: The target is malformed, or its path has a dot segment.
+    """
+    match = TARGET_PATTERN.fullmatch(target)
+    if match is None:
+        raise BadRequestError("malformed target")
+    path, query = match.groups()
+    if b"/." in path and {b".", b".."} & set(path.split(b"/")):
         raise BadRequestError("malformed target")
-    return match[1][1:].partition(b"/")[0], match[2] or b""
+    first_segment, _, _ = path[1:].partition(b"/")
+    return first_segment, query or b""
 
 
 def check_effect(method: bytes, key: bytes, request_class: RequestClass) -> None:
-    """Check that the method and Idempotency-Key are those of a class with its effect."""
+    """Check that the method and the Idempotency-Key are those of a class with its effect.
+
+    Raises:
+        BadRequestError: They are not.
+    """
     if method == b"GET":
         effect = Effect.IDEMPOTENT
     else:
         effect = Effect.IDEMPOTENT_WITH_KEY if key else Effect.NON_IDEMPOTENT
     is_valid = method in (b"GET", b"POST") and effect is request_class.effect
-    if not is_valid or (key and not IDEMPOTENCY_KEY.fullmatch(key)):
+    if not is_valid or (key and not IDEMPOTENCY_KEY_PATTERN.fullmatch(key)):
         raise BadRequestError("the method or Idempotency-Key is not that of the class")
 
 
 def reject_repeated_headers(fields: list[tuple[bytes, bytes]]) -> None:
-    """Raise an error if a header that counts is repeated.
+    """Check that no header that is read here is repeated.
 
     It could be read differently here and at an endpoint.
+
+    Raises:
+        BadRequestError: One is repeated.
     """
     seen = set()
     for name, _ in fields:
@@ -136,9 +212,19 @@
     """Reads the metadata of requests by the settings of one site."""
 
     def __init__(self, settings: Settings, max_units: float) -> None:
-        self.max_units, self.gateway_count = max_units, settings.gateway_count
-        self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
-        self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans)}
+        """Prepare the parser.
+
+        Args:
+            settings: The request classes, the plans and the number of gateways.
+            max_units: The most units that a request may consume.
+        """
+        self._max_units = max_units
+        self._gateway_count = settings.gateway_count
+        self._classes = {
+            request_class.name.encode(): (index, request_class)
+            for index, request_class in enumerate(settings.classes)
+        }
+        self._plans = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
 
     def parse(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestMetadata:
         """Return a request's metadata; the names of the header fields are in lower case.
@@ -150,37 +236,43 @@
         if len(headers) != len(fields):
             reject_repeated_headers(fields)
         class_name, query = split_target(target)
-        if class_name not in self.classes:
+        if class_name not in self._classes:
             raise UnknownRequestClassError("no such class")
-        class_index, request_class = self.classes[class_name]
-        if headers.get(b"request-class") != class_name:
+        class_index, request_class = self._classes[class_name]
+        if headers.get(wire_names.REQUEST_CLASS) != class_name:
             raise BadRequestError("Request-Class is not the path's")
-        plan_index = self.plans.get(headers.get(b"x-tier", b""))
+        plan_index = self._plans.get(headers.get(wire_names.PLAN, b""))
         if plan_index is None:
             raise BadRequestError("no such X-Tier")
-        check_effect(method, headers.get(b"idempotency-key", b""), request_class)
-        request_id = headers.get(b"request-id", b"")
-        if not REQUEST_ID.fullmatch(request_id):
+        check_effect(method, headers.get(wire_names.IDEMPOTENCY_KEY, b""), request_class)
+        request_id = headers.get(wire_names.REQUEST_ID, b"")
+        if not REQUEST_ID_PATTERN.fullmatch(request_id):
             raise BadRequestError("malformed Request-Id")
-        # A client waits for all its attempts no longer than the deadline of the class: none is kept longer.
-        timeout = min(request_class.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
-        terms = self.check_call_terms(headers.get(b"x-call-terms", b""))
-        customer = parse_customer(query)
-        is_retry = headers.get(b"client-retry") == b"1"
+        # A client waits for all its attempts no longer than the deadline of the class.
+        timeout = min(request_class.deadline, parse_timeout(headers.get(wire_names.TIMEOUT, b"")))
+        terms = self._check_call_terms(headers.get(wire_names.CALL_TERMS, b""))
         return RequestMetadata(
-            request_id, class_index, plan_index, customer, timeout,
-            terms.units, terms.gateway_set_size, terms.first_gateway, is_retry,
-        )  # fmt: skip
-
-    def check_call_terms(self, text: bytes) -> CallTerms:
-        """Parse X-Call-Terms, and check them against the settings."""
+            request_id=request_id,
+            class_index=class_index,
+            plan_index=plan_index,
+            customer=parse_customer(query),
+            timeout=timeout,
+            units=terms.units,
+            gateway_set_size=terms.gateway_set_size,
+            first_gateway=terms.first_gateway,
+            is_retry=headers.get(wire_names.CLIENT_RETRY) == b"1",
+        )
+
+    def _check_call_terms(self, text: bytes) -> CallTerms:
+        """Parse the X-Call-Terms header, and check its fields against the settings."""
         if len(text) > MAX_CALL_TERMS_BYTES:
             raise BadRequestError("malformed X-Call-Terms")
         terms = parse_call_terms(text)
-        if not (
-            0 < terms.units <= self.max_units
-            and 0 < terms.gateway_set_size <= self.gateway_count
-            and terms.first_gateway < self.gateway_count
-        ):
+        is_in_range = (
+            0 < terms.units <= self._max_units
+            and 0 < terms.gateway_set_size <= self._gateway_count
+            and terms.first_gateway < self._gateway_count
+        )
+        if not is_in_range:
             raise BadRequestError("X-Call-Terms out of range")
         return terms
--- a/gateway/frontend/request_reader.py
+++ b/gateway/frontend/request_reader.py
@@ -1,4 +1,4 @@
-"""What the bytes of a client's requests mean: framing, size limits, headers and body; no I/O."""
+"""Parses the bytes of a client's requests: framing, size limits, headers and body; performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 import httptools
 
+from gateway.frontend import wire_names
 from gateway.frontend.errors import BadRequestError, BodyTooLargeError, FrontendError
 
-MAX_BODY_BYTES = 64 * 1024  # by the protocol
+MAX_BODY_BYTES = 64 * 1024  # the limit of the protocol
 MAX_HEADER_BYTES = 16 * 1024  # target and headers, with their separators
 HEADER_SEPARATOR_BYTES = 4  # colon, space and line end
 HEADER_TOO_LARGE = "header too large"
-MAX_UNPARSED_BYTES = 1024  # that belong to no request, such as empty lines
-MAX_DISCARDED_BYTES = 1 << 20  # read of a rejected client before it is paused
+MAX_UNPARSED_BYTES = 1024  # of no request, such as empty lines
+MAX_DISCARDED_BYTES = 1 << 20  # of a rejected client, after which reading pauses
 
 
 class ReaderState(enum.Enum):
-    """What the next byte is taken for."""
+    """What a reader expects."""
 
     BETWEEN_REQUESTS = enum.auto()
-    RECEIVING = enum.auto()  # part of a request has come
-    CLOSED = enum.auto()  # nothing more is taken for a request
+    RECEIVING = enum.auto()  # part of a request was read
+    CLOSED = enum.auto()  # further bytes are discarded
 
 
 # Looked up once: access to a member through its class takes a Python call in Python 3.11.
@@ -33,7 +34,16 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """A complete request; header names are in lower case, `started_at` is monotonic seconds."""
+    """A complete request.
+
+    Attributes:
+        method: HTTP method.
+        target: Path and query.
+        headers: Names, in lower case, and values in their order.
+        body: Body without its framing.
+        keep_alive: Whether the client keeps the connection open behind the request.
+        started_at: Monotonic time in seconds at which the first byte was read.
+    """
 
     method: bytes
     target: bytes
@@ -44,13 +54,16 @@
 
 
 class RequestHandler(Protocol):
-    """Receives the events in the stream of bytes, within the call of `RequestReader.feed`."""
+    """Receives what the reader finds in the bytes.
+
+    The reader calls all methods, within the call of `RequestReader.feed`.
+    """
 
     def request_started(self) -> None:
         """The first byte of a request was read."""
 
     def continue_expected(self) -> None:
-        """The client wants to be told to go on before it sends the body."""
+        """The client waits for a 100 response before it sends the body."""
 
     def body_received(self, size: int) -> None:
         """Part of a body was read; a `FrontendError` raised here rejects the request."""
@@ -62,50 +75,63 @@
 class RequestReader:
     """Reads the requests on one connection.
 
-    All changes of `state` are made here.  The HTTP parser calls the methods named `on_...`.
+    The HTTP parser calls the methods named `on_...`; the connection calls the others.
+
+    Attributes:
+        state: What the reader expects.
+        unparsed_bytes: How many bytes were read since the last complete request.
     """
 
     __slots__ = (
-        "body_bytes", "body_parts", "handler", "header_bytes", "headers", "headers_complete", "parser",
-        "started_at", "state", "target", "unparsed_bytes",
-    )  # fmt: skip
+        "_body_bytes",
+        "_body_parts",
+        "_handler",
+        "_header_bytes",
+        "_headers",
+        "_headers_complete",
+        "_parser",
+        "_started_at",
+        "_target",
+        "state",
+        "unparsed_bytes",
+    )
 
     def __init__(self, handler: RequestHandler) -> None:
-        self.handler = handler
-        self.parser = httptools.HttpRequestParser(self)
         self.state = BETWEEN_REQUESTS
-        self.unparsed_bytes = 0  # read since the last complete request
-        self.started_at = 0.0
-        self.start_request()
+        self.unparsed_bytes = 0
+        self._handler = handler
+        self._parser = httptools.HttpRequestParser(self)
+        self._started_at = 0.0
+        self._start_request()
 
     @property
     def is_receiving(self) -> bool:
-        """Whether part of a request has come."""
+        """Whether part of a request was read."""
         return self.state is RECEIVING
 
     @property
     def is_closed(self) -> bool:
-        """Whether nothing more is taken for a request."""
+        """Whether further bytes are discarded."""
         return self.state is CLOSED
 
-    def start_request(self) -> None:
-        """Forget the last request."""
-        self.target = b""
-        self.headers: list[tuple[bytes, bytes]] = []
-        self.headers_complete = False
-        self.header_bytes = 0
-        self.body_parts: list[bytes] = []
-        self.body_bytes = 0
+    def _start_request(self) -> None:
+        """Reset the fields of the request."""
+        self._target = b""
+        self._headers: list[tuple[bytes, bytes]] = []
+        self._headers_complete = False
+        self._header_bytes = 0
+        self._body_parts: list[bytes] = []
+        self._body_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse what was read, and call the handler for what it brings.
+        """Parse bytes that were read, and call the handler for what they complete.
 
         Raises:
-            FrontendError: What was read is no valid request, or the handler has refused it.
+            FrontendError: The bytes are no valid request, or the handler has rejected it.
         """
         self.unparsed_bytes += len(data)
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise BadRequestError("no upgrades here") from None
         except httptools.HttpParserError as error:
@@ -117,14 +143,14 @@
             raise BadRequestError("no request")
 
     def close(self) -> None:
-        """Take nothing more for a request."""
+        """Discard further bytes."""
         self.state = CLOSED
 
     def discard(self, size: int) -> bool:
         """Count bytes that were read after `close`.
 
         Returns:
-            Whether so many came that the client has to pause; the count then starts anew.
+            Whether they exceed the limit, so that reading has to pause; the count then starts anew.
         """
         self.unparsed_bytes += size
         if self.unparsed_bytes <= MAX_DISCARDED_BYTES:
@@ -133,62 +159,62 @@
         return True
 
     def discard_body(self) -> None:
-        """Free the memory of the body that has come so far."""
-        self.body_parts = []
+        """Free the memory of the part of a body that was read."""
+        self._body_parts = []
 
     def on_message_begin(self) -> None:
-        """Begin a request, unless the reader was closed within this call of `feed`."""
+        """Start a request, unless the reader was closed within this call of `feed`."""
         if self.state is CLOSED:
             raise BadRequestError("nothing more is read here")
-        self.start_request()
-        self.started_at = time.monotonic()
+        self._start_request()
+        self._started_at = time.monotonic()
         self.state = RECEIVING
-        self.handler.request_started()
+        self._handler.request_started()
 
     def on_url(self, target: bytes) -> None:
-        """Collect the target, which may come in parts."""
-        self.target += target
-        self.header_bytes += len(target)
-        if self.header_bytes > MAX_HEADER_BYTES:
+        """Add a part of the target."""
+        self._target += target
+        self._header_bytes += len(target)
+        if self._header_bytes > MAX_HEADER_BYTES:
             raise BadRequestError(HEADER_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header.  Trailers are left out, as one could stand in for a header that is absent."""
-        self.header_bytes += len(name) + len(value) + HEADER_SEPARATOR_BYTES
-        if self.header_bytes > MAX_HEADER_BYTES:
+        """Add a header.  Trailers are left out, as one could take the place of a header that is absent."""
+        self._header_bytes += len(name) + len(value) + HEADER_SEPARATOR_BYTES
+        if self._header_bytes > MAX_HEADER_BYTES:
             raise BadRequestError(HEADER_TOO_LARGE)
-        if not self.headers_complete:
-            self.headers.append((name.lower(), value))
+        if not self._headers_complete:
+            self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
         """Check the announced length before any of the body is read."""
-        self.headers_complete = True
-        for name, value in self.headers:
-            if name == b"content-length" and int(value) > MAX_BODY_BYTES:
+        self._headers_complete = True
+        for name, value in self._headers:
+            if name == wire_names.CONTENT_LENGTH and int(value) > MAX_BODY_BYTES:
                 raise BodyTooLargeError("body too large")
-            if name == b"expect" and value.lower() == b"100-continue":
-                self.handler.continue_expected()
+            if name == wire_names.EXPECT and value.lower() == b"100-continue":
+                self._handler.continue_expected()
 
     def on_body(self, data: bytes) -> None:
-        """Collect the body up to its limit."""
-        self.body_bytes += len(data)
-        if self.body_bytes > MAX_BODY_BYTES:
+        """Add a part of the body, up to the limit of its size."""
+        self._body_bytes += len(data)
+        if self._body_bytes > MAX_BODY_BYTES:
             raise BodyTooLargeError("body too large")
-        self.handler.body_received(len(data))
-        self.body_parts.append(data)
+        self._handler.body_received(len(data))
+        self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand the complete request over."""
+        """Pass the complete request to the handler."""
         if self.state is RECEIVING:
             self.state = BETWEEN_REQUESTS
         self.unparsed_bytes = 0
-        self.handler.request_received(
+        self._handler.request_received(
             ReceivedRequest(
-                self.parser.get_method(),
-                self.target,
-                self.headers,
-                b"".join(self.body_parts),
-                self.parser.should_keep_alive(),
-                self.started_at,
+                method=self._parser.get_method(),
+                target=self._target,
+                headers=self._headers,
+                body=b"".join(self._body_parts),
+                keep_alive=self._parser.should_keep_alive(),
+                started_at=self._started_at,
             )
         )
