--- a/gateway/frontend/forwarded_request.py
+++ b/gateway/frontend/forwarded_request.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gateway.frontend import wire_names
+from gateway.frontend import request_headers
 from gateway.frontend.request_reader import ReceivedRequest
 
 NOT_FORWARDED = frozenset(  # hop-by-hop headers, and those that are written anew
@@ -16,9 +16,9 @@
         b"trailer",
         b"transfer-encoding",
         b"upgrade",
-        wire_names.CONTENT_LENGTH,
-        wire_names.EXPECT,
-        wire_names.TIMEOUT,
+        request_headers.CONTENT_LENGTH,
+        b"expect",
+        request_headers.TIMEOUT,
     }
 )
 MIN_TIMEOUT_MILLISECONDS = 1
--- a/gateway/frontend/request_reader.py
+++ b/gateway/frontend/request_reader.py
@@ -9,12 +9,14 @@
 
 import httptools
 
-from gateway.frontend import wire_names
+from gateway.frontend import request_headers
 from gateway.frontend.errors import BadRequestError, BodyTooLargeError, FrontendError
 
 MAX_BODY_BYTES = 64 * 1024  # the limit of the protocol
 MAX_HEADER_BYTES = 16 * 1024  # target and headers, with their separators
 HEADER_SEPARATOR_BYTES = 4  # colon, space and line end
+EXPECT = b"expect"
+CONTINUE_EXPECTED = b"100-continue"  # the value of Expect
 HEADER_TOO_LARGE = "header too large"
 MAX_UNPARSED_BYTES = 1024  # of no request, such as empty lines
 MAX_DISCARDED_BYTES = 1 << 20  # of a rejected client, after which reading pauses
@@ -190,9 +192,9 @@
         """Check the announced length before any of the body is read."""
         self._headers_complete = True
         for name, value in self._headers:
-            if name == wire_names.CONTENT_LENGTH and int(value) > MAX_BODY_BYTES:
+            if name == request_headers.CONTENT_LENGTH and int(value) > MAX_BODY_BYTES:
                 raise BodyTooLargeError("body too large")
-            if name == wire_names.EXPECT and value.lower() == b"100-continue":
+            if name == EXPECT and value.lower() == CONTINUE_EXPECTED:
                 self._handler.continue_expected()
 
     def on_body(self, data: bytes) -> None:
