--- /dev/null
+++ b/tests/support/fake_counter.py
@@ -0,0 +1,48 @@
+"""A fake counter."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from tests.support.fake_server import FakeServer
+
+
+@dataclass
+class FakeCounter(FakeServer):
+    """A counter; `reply` may replace the answer to the call with that number."""
+
+    reply: Callable[[int, list[bytes]], bytes | None] | None = None
+    totals: dict[bytes, float] = field(default_factory=dict)
+    calls: list[list[bytes]] = field(default_factory=list)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer calls until the client closes the connection."""
+        while True:
+            call = await read_call(reader)
+            if call[0] == b"PING":
+                writer.write(b"+PONG\r\n")
+                continue
+            self.calls.append(call)
+            replacement = self.reply(len(self.calls) - 1, call) if self.reply else None
+            total = self.add(call)
+            writer.write(total if replacement is None else replacement)
+
+    def add(self, call: list[bytes]) -> bytes:
+        """Add to a total, and return the reply that tells it."""
+        _command, name, amount, *_ = call
+        self.totals[name] = self.totals.get(name, 0.0) + float(amount)
+        total = f"{self.totals[name]:g}".encode()
+        return b"$%d\r\n%s\r\n" % (len(total), total)
+
+
+async def read_call(reader: asyncio.StreamReader) -> list[bytes]:
+    """Read the parts of a call."""
+    parts = []
+    part_count = int((await reader.readline())[1:])
+    for _ in range(part_count):
+        size = int((await reader.readline())[1:])
+        part = await reader.readexactly(size + 2)  # with its line end
+        parts.append(part[:-2])
+    return parts
--- /dev/null
+++ b/tests/support/fake_discovery.py
@@ -0,0 +1,59 @@
+"""A fake discovery agent, and the endpoints that it lists."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from dataclasses import dataclass, field
+from typing import Any
+
+from tests.support.event_loop import POLL_SECONDS
+from tests.support.fake_server import FakeServer
+from tests.support.http_messages import http_response, read_message
+
+END_OF_WATCH = b"<end>"
+
+
+@dataclass
+class FakeDiscoveryAgent(FakeServer):
+    """Discovery: the snapshot, then a watch that gets the lines put into `lines`, one chunk a line."""
+
+    lines: list[bytes] = field(default_factory=list)
+    targets: list[str] = field(default_factory=list)
+    whole: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer a request for the snapshot and one for a watch."""
+        self.targets.append((await read_message(reader)).target)
+        writer.write(http_response(body=self.whole))
+        self.targets.append((await read_message(reader)).target)
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        ended = asyncio.ensure_future(reader.read())
+        sent = 0
+        while not ended.done():
+            for line in self.lines[sent:]:
+                if line == END_OF_WATCH:
+                    self.lines.remove(line)
+                    return
+                writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
+            sent = len(self.lines)
+            await asyncio.sleep(POLL_SECONDS)
+
+
+def host_line(name: str, dial: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
+    """Return an endpoint as an agent lists it."""
+    return {
+        "host": name,
+        "dial": dial,
+        "site": "a",
+        "class": "m2",
+        "block": block,
+        "health": health,
+        "share": 1.0,
+        "born_ms": 0,
+    }
+
+
+def snapshot(version: int, hosts: list[dict[str, Any]]) -> bytes:
+    """Return an endpoint list as an agent sends it."""
+    return json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
--- /dev/null
+++ b/tests/support/fake_server.py
@@ -0,0 +1,70 @@
+"""What the fakes of an endpoint, the counter and the discovery agent share: a server on a loopback socket."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator, Awaitable, Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+LOOPBACK = "127.0.0.1"
+
+Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+@contextlib.asynccontextmanager
+async def listening(handler: Handler) -> AsyncIterator[str]:
+    """Serve connections with a handler; the value is the address."""
+    tasks: set[asyncio.Task[Any]] = set()
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        task = asyncio.current_task()
+        assert task is not None
+        tasks.add(task)
+        try:
+            await handler(reader, writer)
+        except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            pass
+        finally:
+            tasks.discard(task)
+            writer.close()
+
+    server = await asyncio.start_server(handle, LOOPBACK, 0)
+    port = server.sockets[0].getsockname()[1]
+    try:
+        yield f"{LOOPBACK}:{port}"
+    finally:
+        server.close()
+        for task in list(tasks):
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+
+@dataclass
+class FakeServer:
+    """Serves connections by its `serve`, and counts them."""
+
+    opened: int = field(default=0, init=False)
+    open: int = field(default=0, init=False)
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Count a connection and serve it."""
+        self.opened += 1
+        self.open += 1
+        try:
+            await self.serve(reader, writer)
+        finally:
+            self.open -= 1
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a connection until its client closes it."""
+        raise NotImplementedError
+
+
+async def server_address(stack: contextlib.AsyncExitStack, server: FakeServer | Handler | str) -> str:
+    """Return the address of a server, which runs until the stack is closed if it is not an address itself."""
+    if isinstance(server, str):
+        return server
+    handler = server.handle if isinstance(server, FakeServer) else server
+    return await stack.enter_async_context(listening(handler))
--- /dev/null
+++ b/tests/support/gateway.py
@@ -0,0 +1,133 @@
+"""A gateway process inside a test, between fakes and a client."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from gateway.config import Config, parse_config
+from gateway.process import GatewayProcess
+from tests.support.fake_discovery import host_line
+from tests.support.fake_server import FakeServer, Handler, server_address
+from tests.support.http_client import HttpClient
+from tests.support.policy import BASE
+from tests.support.scripted_policy import Reaction, ScriptedPolicy, do_nothing, forward_to_first
+
+UNREACHABLE = "127.0.0.1:1"  # nothing listens on this port
+LIST_SETTINGS = ("zones", "columns")
+
+
+def nest(flat: dict[str, str]) -> dict[str, Any]:
+    """Return flat settings as a gateway finds them in its configuration: nested, with typed values."""
+    root: dict[str, Any] = {}
+    for path, value in flat.items():
+        section = root
+        *parents, leaf = path.split(".")
+        for part in parents:
+            section = section.setdefault(part, {})
+        section[leaf] = value.split(",") if leaf in LIST_SETTINGS else value
+    for name in ("classes", "tariffs"):
+        count = int(root[name].pop("count"))
+        root[name] = [root[name][str(index)] for index in range(count)]
+    return root
+
+
+def config_text(known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str) -> str:
+    """Return a configuration as JSON.
+
+    Args:
+        known: The cached endpoints, as an agent lists them.
+        counter: Address of the counter; without one there is none.
+        discovery: Address of the discovery agent.
+        changes: Changed settings (dots written as double underscores).
+    """
+    settings = BASE | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
+    settings |= {key.replace("__", "."): value for key, value in changes.items()}
+    if not counter:
+        settings["extra.has_counter"] = "false"
+    return json.dumps(
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": discovery or UNREACHABLE,
+            "seed": "8c1f",
+            "counter": counter,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": {"seq": 41, "whole": True, "hosts": known},
+            "settings": nest(settings) | {"host_types": ["m2"]},
+        }
+    )
+
+
+def config_without(key: str) -> str:
+    """Return a configuration that lacks a key."""
+    raw: dict[str, Any] = json.loads(config_text([]))
+    del raw[key]
+    return json.dumps(raw)
+
+
+def make_config(
+    known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str
+) -> Config:
+    """Return a configuration; the arguments are those of `config_text`."""
+    return parse_config(config_text(known, counter, discovery, **changes), {})
+
+
+class RunningGateway(NamedTuple):
+    """A running gateway, and the scripted policy in it."""
+
+    process: GatewayProcess
+    policy: ScriptedPolicy
+
+
+@contextlib.asynccontextmanager
+async def running_gateway(
+    *endpoints: FakeServer | Handler | str,
+    react: Reaction | None = None,
+    counter: FakeServer | Handler | str = "",
+    **changes: str,
+) -> AsyncIterator[RunningGateway]:
+    """Run a gateway without discovery.
+
+    Args:
+        endpoints: Its endpoints, each a fake, a connection handler or an address.
+        react: The script of the policy; with None the gateway has its own policy.
+        counter: The counter, given like an endpoint; empty for none.
+        changes: Changed settings (dots written as double underscores).
+    """
+    async with contextlib.AsyncExitStack() as stack:
+        addresses = [await server_address(stack, endpoint) for endpoint in endpoints]
+        known = [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
+        counter_address = await server_address(stack, counter)
+        process = GatewayProcess(make_config(known, counter_address, **changes))
+        process.endpoint_list_timeout = 0.0
+        script = ScriptedPolicy(react or do_nothing)
+        if react is not None:
+            process.driver.policy = script  # type: ignore[assignment]
+        await process.start()
+        stack.push_async_callback(process.close)
+        yield RunningGateway(process, script)
+
+
+@dataclass(frozen=True)
+class GatewaySetUp:
+    """A running gateway, the scripted policy in it, and a connected client."""
+
+    process: GatewayProcess
+    policy: ScriptedPolicy
+    client: HttpClient
+
+
+@contextlib.asynccontextmanager
+async def gateway_with_client(
+    *endpoints: FakeServer | Handler | str, react: Reaction | None = forward_to_first, **changes: str
+) -> AsyncIterator[GatewaySetUp]:
+    """Run a gateway with a client; the arguments are those of `running_gateway`."""
+    async with (
+        running_gateway(*endpoints, react=react, **changes) as (process, policy),
+        HttpClient(process.listener) as client,
+    ):
+        yield GatewaySetUp(process, policy, client)
