--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -1,5 +1,7 @@
 """The table of endpoints, those that are ready in ring order, and the gateway's subset of them."""
 
+from __future__ import annotations
+
 import bisect
 import math
 from dataclasses import dataclass, field
@@ -7,23 +9,33 @@
 
 from gateway.policy.context import DECAY_SECONDS, Context, stable_hash
 from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
-from gateway.policy.slow_start import SlowStart
+from gateway.policy.slow_start import SlowStart, SlowStartBudget
 from gateway.policy.subsetting import choose_subset
 
 INITIAL_LATENCY_SECONDS = 0.3  # assumed before the first response
+SUBSET_LIFETIME_SECONDS = DECAY_SECONDS / 4  # of a subset with warming endpoints, which come on top
 RING_ORDER = attrgetter("ring_position")
 
 AttemptKey = tuple[int, int]  # request id, attempt number
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Endpoint:
-    """An endpoint: the table writes its listing, `SlowStart` its tokens, `LoadBalancer` the rest."""
+    """An endpoint as it is listed, and this gateway's attempts at it.
+
+    Attributes:
+        record: Its newest record in the endpoint list.
+        ring_position: Its place among the endpoints, the same at every gateway.
+        state: Its state in the endpoint list.
+        in_flight: Unix time at which each attempt in flight started, in seconds; oldest first.
+        slow_start_budget: The attempts that it may get while it warms up.
+    """
 
     record: EndpointRecord
-    in_flight: dict[AttemptKey, float]  # start of attempts, oldest first
-    ring_position: int  # the same at every gateway
-    state: EndpointState
+    ring_position: int
+    state: EndpointState = EndpointState.GONE
+    in_flight: dict[AttemptKey, float] = field(default_factory=dict)
+    slow_start_budget: SlowStartBudget = field(default_factory=SlowStartBudget)
     latency: float = INITIAL_LATENCY_SECONDS
     last_response_at: float = 0.0
     last_response_by_class: dict[int, float] = field(default_factory=dict)
@@ -31,13 +43,42 @@
     load: float = 0.0  # queued requests and utilization, as last reported
     load_reported_at: float = -math.inf
     silent_classes: dict[int, float] = field(default_factory=dict)  # classes left unanswered, and when
-    slow_start_tokens: float = 0.0
-    slow_start_tokens_at: float = 0.0
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether the endpoint list offers it for new attempts."""
+        return self.state is EndpointState.READY
+
+    @property
+    def may_be_forgotten(self) -> bool:
+        """Whether it is gone from the list and has no attempt in flight."""
+        return self.state is EndpointState.GONE and not self.in_flight
+
+    def update_record(self, record: EndpointRecord) -> None:
+        """Replace its record, though not its state."""
+        self.record = record
+
+    def update_state(self, state: EndpointState) -> None:
+        """Replace its state."""
+        self.state = state
+
+    def start_attempt(self, key: AttemptKey, now: float) -> None:
+        """Add an attempt in flight."""
+        self.in_flight[key] = now
+
+    def finish_attempt(self, key: AttemptKey) -> float | None:
+        """Remove an attempt and return when it started; None where it is not in flight here."""
+        return self.in_flight.pop(key, None)
 
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt at an endpoint."""
+    """An attempt at an endpoint.
+
+    Attributes:
+        endpoint: Where it went.
+        started_at: Unix time of its start, in seconds.
+    """
 
     endpoint: Endpoint
     started_at: float
@@ -47,84 +88,110 @@
     """All endpoints that are listed or still have attempts in flight."""
 
     def __init__(self, context: Context, slow_start: SlowStart) -> None:
-        self.context, self.slow_start = context, slow_start
+        self.context = context
+        self.slow_start = slow_start
         self.by_id: dict[int, Endpoint] = {}
         self.ready: list[Endpoint] = []  # in ring order
         self.subset: list[Endpoint] = []  # of the ready ones, those that this gateway sends to
-        self.subset_expires_at, self.in_flight = math.inf, 0  # attempts in flight at ready endpoints
+        self.subset_ids: frozenset[int] = frozenset()
+        self.subset_expires_at = math.inf
+        self.in_flight = 0  # attempts in flight at ready endpoints
         self.started_at: dict[AttemptKey, float] = {}  # of all attempts in flight, oldest first
 
     def apply_update(self, update: EndpointUpdate, initial_latency: float) -> None:
-        """Apply a change, at the cost of what it changes, or a whole list as a change of all."""
-        whole = update.kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT)
-        named = {record.endpoint_id for record in update.records}
-        if whole:
-            for unnamed in (e for endpoint_id, e in self.by_id.items() if endpoint_id not in named):
-                self._withdraw(unnamed, EndpointState.GONE)
-            self.ready, named = [], set(self.by_id) | named  # sorted anew below: cheaper than one by one
-        for record in update.records:
-            self._apply_record(record, initial_latency, insert=not whole)
-        if whole:
-            ready = (e for e in self.by_id.values() if e.state is EndpointState.READY)
-            self.ready = sorted(ready, key=RING_ORDER)
-        for endpoint_id in named:
-            self._forget_if_gone(self.by_id[endpoint_id])
+        """Apply an update of the endpoint list; endpoints that have started get the initial latency."""
+        if update.kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT):
+            self._apply_snapshot(update.records, initial_latency)
+        else:
+            self._apply_delta(update.records, initial_latency)
         self.update_subset()
 
-    def _apply_record(self, record: EndpointRecord, initial_latency: float, *, insert: bool) -> None:
-        now, endpoint = self.context.now, self.by_id.get(record.endpoint_id)
+    def _apply_snapshot(self, records: tuple[EndpointRecord, ...], initial_latency: float) -> None:
+        listed_ids = {record.endpoint_id for record in records}
+        for endpoint_id, endpoint in self.by_id.items():
+            if endpoint_id not in listed_ids:
+                self._update_state(endpoint, EndpointState.GONE)
+        for record in records:
+            self._apply_record(record, initial_latency)
+        ready = [endpoint for endpoint in self.by_id.values() if endpoint.is_ready]
+        self.ready = sorted(ready, key=RING_ORDER)  # cheaper than one insertion for each endpoint
+        for endpoint in list(self.by_id.values()):
+            self._forget_if_gone(endpoint)
+
+    def _apply_delta(self, records: tuple[EndpointRecord, ...], initial_latency: float) -> None:
+        """Apply the records of the endpoints that have changed, at a cost that follows from their number."""
+        for record in records:
+            known = self.by_id.get(record.endpoint_id)
+            was_ready = known is not None and known.is_ready
+            endpoint = self._apply_record(record, initial_latency)
+            if endpoint.is_ready and not was_ready:
+                bisect.insort(self.ready, endpoint, key=RING_ORDER)
+            elif was_ready and not endpoint.is_ready:
+                self._remove_from_ready(endpoint)
+        for endpoint_id in {record.endpoint_id for record in records}:
+            self._forget_if_gone(self.by_id[endpoint_id])
+
+    def _apply_record(self, record: EndpointRecord, initial_latency: float) -> Endpoint:
+        endpoint = self.by_id.get(record.endpoint_id)
         if endpoint is None:
-            endpoint = Endpoint(record, {}, stable_hash(record.endpoint_id), EndpointState.GONE)
+            endpoint = Endpoint(record, stable_hash(record.endpoint_id))
             self.by_id[record.endpoint_id] = endpoint
-        if record.started_at > endpoint.record.started_at or not endpoint.slow_start_tokens_at:
-            endpoint.latency, endpoint.last_response_at = initial_latency, now
-            self.slow_start.reset(endpoint)
-        endpoint.record = record
-        if record.state is not EndpointState.READY:
-            self._withdraw(endpoint, record.state)
-        elif endpoint.state is not EndpointState.READY:
-            endpoint.state = EndpointState.READY
+        has_restarted = record.started_at > endpoint.record.started_at
+        if has_restarted or not endpoint.slow_start_budget.has_begun:
+            endpoint.latency = initial_latency
+            endpoint.last_response_at = self.context.now
+            self.slow_start.begin_budget(endpoint.slow_start_budget)
+        endpoint.update_record(record)
+        self._update_state(endpoint, record.state)
+        return endpoint
+
+    def _update_state(self, endpoint: Endpoint, state: EndpointState) -> None:
+        was_ready = endpoint.is_ready
+        endpoint.update_state(state)
+        if endpoint.is_ready and not was_ready:
             self.in_flight += len(endpoint.in_flight)
-            if insert:
-                bisect.insort(self.ready, endpoint, key=RING_ORDER)
-
-    def _withdraw(self, endpoint: Endpoint, state: EndpointState) -> None:
-        if endpoint.state is EndpointState.READY:
+        elif was_ready and not endpoint.is_ready:
             self.in_flight -= len(endpoint.in_flight)
-            at = bisect.bisect_left(self.ready, endpoint.ring_position, key=RING_ORDER)
-            if at < len(self.ready) and self.ready[at] is endpoint:
-                del self.ready[at]
-        endpoint.state = state
+
+    def _remove_from_ready(self, endpoint: Endpoint) -> None:
+        index = bisect.bisect_left(self.ready, endpoint.ring_position, key=RING_ORDER)
+        if index < len(self.ready) and self.ready[index] is endpoint:
+            del self.ready[index]
 
     def _forget_if_gone(self, endpoint: Endpoint) -> None:
-        if endpoint.state is EndpointState.GONE and not endpoint.in_flight:
+        if endpoint.may_be_forgotten:
             del self.by_id[endpoint.record.endpoint_id]  # ids are never used again
 
     def update_subset(self) -> None:
-        """Choose the subset; again after a while where some are in slow start, as those come on top."""
-        self.subset_expires_at = math.inf
-
-        def is_warm(at: int) -> bool:
-            warm = self.slow_start.slow_start_fraction(self.ready[at]) >= 1
-            if not warm:
-                self.subset_expires_at = self.context.now + DECAY_SECONDS / 4
-            return warm
+        """Choose the subset; it expires where some of its endpoints are warming up."""
+        index = self.context.settings.gateway_index
+        positions = choose_subset(len(self.ready), self._is_warm, index, self.context.gateway_count)
+        all_warm = all(self._is_warm(position) for position in positions)
+        self.subset = [self.ready[position] for position in sorted(positions)]
+        self.subset_ids = frozenset(endpoint.record.endpoint_id for endpoint in self.subset)
+        self.subset_expires_at = math.inf if all_warm else self.context.now + SUBSET_LIFETIME_SECONDS
 
-        index, count = self.context.settings.gateway_index, self.context.gateway_count
-        self.subset = [self.ready[at] for at in sorted(choose_subset(len(self.ready), is_warm, index, count))]
+    def _is_warm(self, position: int) -> bool:
+        return self.slow_start.capacity_fraction(self.ready[position].record.started_at) >= 1
 
     def start_attempt(self, endpoint: Endpoint, key: AttemptKey) -> Attempt:
         """Count an attempt at a ready endpoint."""
-        endpoint.in_flight[key] = self.started_at[key] = self.context.now
+        now = self.context.now
+        endpoint.start_attempt(key, now)
+        self.started_at[key] = now
         self.in_flight += 1
-        return Attempt(endpoint, self.context.now)
+        return Attempt(endpoint, now)
 
     def finish_attempt(self, endpoint_id: int, key: AttemptKey) -> Attempt | None:
-        """Count an attempt no more; None where it was not in flight at this endpoint."""
+        """Stop counting an attempt and return it; None where it is not in flight at this endpoint."""
         self.started_at.pop(key, None)
         endpoint = self.by_id.get(endpoint_id)
-        if endpoint is None or (started_at := endpoint.in_flight.pop(key, None)) is None:
+        if endpoint is None:
+            return None
+        started_at = endpoint.finish_attempt(key)
+        if started_at is None:
             return None
-        self.in_flight -= endpoint.state is EndpointState.READY
+        if endpoint.is_ready:
+            self.in_flight -= 1
         self._forget_if_gone(endpoint)
         return Attempt(endpoint, started_at)
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -103,7 +103,7 @@
         request_id, number = pending.request.request_id, pending.attempts_started
         self.requests_in_flight += not pending.in_flight
         pending.start_attempt(self.endpoints.start_attempt(endpoint, (request_id, number)))
-        self.slow_start.record_attempt(endpoint)
+        self.slow_start.record_attempt(endpoint.slow_start_budget, endpoint.record.started_at)
         if number == 0:
             self.retries.record_first_attempt()
         self.actions.append(StartAttempt(request_id, endpoint.record.endpoint_id, 0.0))
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -36,13 +36,15 @@
         if self.context.now >= self.endpoints.subset_expires_at:
             self.endpoints.update_subset()
         # All are looked at only where none of the subset will do: a request must not cost what a list does.
-        near, candidates = {e.record.endpoint_id for e in self.endpoints.subset}, self.endpoints.subset
+        near, candidates = self.endpoints.subset_ids, self.endpoints.subset
         if allowed is not self.endpoints.ready:
             candidates = [e for e in allowed if e.record.endpoint_id in near]
         if best := self.best_of(pending, candidates):
             return best
-        fraction = self.slow_start.slow_start_fraction  # one in slow start is in enough gateways' subsets
-        others = [e for e in allowed if e.record.endpoint_id not in near and fraction(e) >= 1]
+        fraction = self.slow_start.capacity_fraction  # one in slow start is in enough gateways' subsets
+        others = [
+            e for e in allowed if e.record.endpoint_id not in near and fraction(e.record.started_at) >= 1
+        ]
         return self.best_of(pending, others)
 
     def best_of(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
@@ -54,14 +56,15 @@
         limit = 2 * self.limiter.concurrency_limit * ready_count / max(1, subset_size)
         fast_latency = 1.5 * self.limiter.mean_latency
         class_index, recently_tried = pending.request.class_index, pending.tried_endpoints[-2:]
-        has_budget, best, best_score = self.slow_start.has_slow_start_budget, None, math.inf
+        has_budget, best, best_score = self.slow_start.allows_attempt, None, math.inf
         for endpoint in candidates:
-            fraction = self.slow_start.slow_start_fraction(endpoint)
+            fraction = self.slow_start.capacity_fraction(endpoint.record.started_at)
             expected, in_flight = self.expected_latency(endpoint, fraction), len(endpoint.in_flight)
             full = in_flight >= max(1.0, limit * min(1.0, fast_latency / expected))
             if full or endpoint.record.endpoint_id in recently_tried:
                 continue
-            if fraction < 1 and not has_budget(endpoint, subset_size, ready_count):
+            budget = endpoint.slow_start_budget
+            if fraction < 1 and not has_budget(budget, fraction, subset_size, ready_count):
                 continue
             queued = in_flight + 1 + REPORT_WEIGHT * self.limiter.estimated_load(endpoint)
             if now - endpoint.silent_classes.get(class_index, -math.inf) < 2 * DECAY_SECONDS:
@@ -71,13 +74,13 @@
                 best, best_score = endpoint, score
         return best
 
-    def expected_latency(self, endpoint: Endpoint, slow_start_fraction: float) -> float:
+    def expected_latency(self, endpoint: Endpoint, capacity_fraction: float) -> float:
         """At least as long as an endpoint has been silent; an outlier's latency fades to the mean."""
         now, mean = self.context.now, self.limiter.mean_latency
         oldest = next(iter(endpoint.in_flight.values()), now)
         fade = math.exp((endpoint.last_outcome_at - now) / DECAY_SECONDS)
         latency = min(endpoint.latency, mean + max(0.0, endpoint.latency - mean) * fade)
-        return max(latency, now - max(oldest, endpoint.last_response_at)) / slow_start_fraction
+        return max(latency, now - max(oldest, endpoint.last_response_at)) / capacity_fraction
 
     def record_result(self, attempt: Attempt, event: AttemptFinished, pending: PendingRequest | None) -> None:
         """Keep what an attempt's outcome says of its endpoint, and of the load of all."""
--- a/gateway/policy/slow_start.py
+++ b/gateway/policy/slow_start.py
@@ -1,55 +1,88 @@
-"""Slow start: what may be sent to endpoints that are warming up."""
+"""Slow start: how many attempts may go to endpoints that are warming up."""
 
 from __future__ import annotations
 
-import math
-from typing import TYPE_CHECKING
+from dataclasses import dataclass, field
 
 from gateway.policy.context import DECAY_SECONDS, EPSILON, Context
+from gateway.policy.moving_average import DecayingSum
+from gateway.policy.token_bucket import TokenBucket
 
-if TYPE_CHECKING:
-    from gateway.policy.endpoints import Endpoint
-
-BUDGET_FRACTION = 0.7  # of the allowed load that is used: the work per request varies
+BUDGET_FRACTION = 0.7  # of the load that an endpoint surely bears, as the work per request varies
 MIN_BUDGET = 4.0  # requests of all gateways in a window: an endpoint may warm up by serving only
 
 
+@dataclass(slots=True, eq=False)
+class SlowStartBudget:
+    """This gateway's part of the attempts that one endpoint may get while it warms up.
+
+    Attributes:
+        bucket: A token for each attempt that may start.
+    """
+
+    bucket: TokenBucket = field(default_factory=TokenBucket)
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether the endpoint has had a budget before."""
+        return self.bucket.updated_at != 0.0
+
+    def begin(self, tokens: float, now: float) -> None:
+        """Begin again with a number of attempts, for an endpoint that has started."""
+        self.bucket.reset(tokens, now)
+
+    def allows_attempt(self, now: float, rate: float, capacity: float) -> bool:
+        """Return whether an attempt may start, at a rate in attempts a second and a capacity in attempts."""
+        return self.bucket.refill(now, rate, capacity) >= 1.0
+
+    def record_attempt(self) -> None:
+        """Take one attempt out of the budget."""
+        self.bucket.consume(1.0)
+
+
 class SlowStart:
-    """Keeps this gateway's part of each warming endpoint's budget."""
+    """Computes the budget of each warming endpoint from the attempts that warm endpoints get."""
 
     def __init__(self, context: Context) -> None:
-        self.context, self.rules = context, context.settings.rules
-        self.warm_attempts, self.warm_attempts_at = 0.0, 0.0  # at other endpoints, a decaying sum
+        self.context = context
+        self.rules = context.settings.rules
+        self.warm_attempts = DecayingSum(DECAY_SECONDS)
 
-    def slow_start_fraction(self, endpoint: Endpoint) -> float:
-        """The fraction of its capacity that an endpoint surely has by now."""
-        started_at, duration = endpoint.record.started_at, self.rules.slow_start_time
-        if started_at <= 0 or duration <= 0 or (age := self.context.now - started_at) >= duration:
+    def capacity_fraction(self, started_at: float) -> float:
+        """Return the fraction of its capacity that an endpoint surely has, by when it started."""
+        duration = self.rules.slow_start_time
+        if started_at <= 0 or duration <= 0:
             return 1.0
-        coldest = self.rules.cold_capacity_fraction
-        return coldest + (1 - coldest) * max(0.0, age) / duration
-
-    def reset(self, endpoint: Endpoint) -> None:
-        """Begin the budget of an endpoint that has started, at random: not all gateways send at once."""
-        endpoint.slow_start_tokens = self.context.random.random()
-        endpoint.slow_start_tokens_at = self.context.now
-
-    def has_slow_start_budget(self, endpoint: Endpoint, subset_size: int, ready_count: int) -> bool:
-        """Whether this gateway's part of a budget, half at once and half as it flows in, allows a request."""
-        rules, now, window = self.rules, self.context.now, self.rules.cold_overload_window
-        rate = self.warm_attempts * math.exp((self.warm_attempts_at - now) / DECAY_SECONDS) / DECAY_SECONDS
-        budget = BUDGET_FRACTION * rules.cold_overload_multiple * self.slow_start_fraction(endpoint) * rate
-        sharers = max(1.0, self.context.gateway_count * subset_size / max(1, ready_count))
-        budget = max(budget * window / max(1, subset_size), MIN_BUDGET / sharers)
-        flow = budget / 2 / max(EPSILON, window)
-        tokens = endpoint.slow_start_tokens + (now - endpoint.slow_start_tokens_at) * flow
-        endpoint.slow_start_tokens, endpoint.slow_start_tokens_at = min(max(1.0, budget / 2), tokens), now
-        return endpoint.slow_start_tokens >= 1.0
-
-    def record_attempt(self, endpoint: Endpoint) -> None:
-        """Take an attempt from a warming endpoint's budget, or count it into the rate at warm ones."""
-        if self.slow_start_fraction(endpoint) < 1:
-            endpoint.slow_start_tokens -= 1
+        age = self.context.now - started_at
+        if age >= duration:
+            return 1.0
+        initial = self.rules.cold_capacity_fraction
+        return initial + (1 - initial) * max(0.0, age) / duration
+
+    def begin_budget(self, budget: SlowStartBudget) -> None:
+        """Begin an endpoint's budget with less than an attempt, at random: gateways must not send at once."""
+        budget.begin(self.context.random.random(), self.context.now)
+
+    def allows_attempt(
+        self, budget: SlowStartBudget, capacity_fraction: float, subset_size: int, ready_count: int
+    ) -> bool:
+        """Return whether a warming endpoint's budget allows this gateway an attempt.
+
+        Half of the budget may be used at once; the other half accrues over the window.
+        """
+        rules = self.rules
+        now = self.context.now
+        window = rules.cold_overload_window
+        warm_rate = self.warm_attempts.rate(now)
+        sustained = BUDGET_FRACTION * rules.cold_overload_multiple * capacity_fraction * warm_rate
+        sharing_gateways = max(1.0, self.context.gateway_count * subset_size / max(1, ready_count))
+        attempts = max(sustained * window / max(1, subset_size), MIN_BUDGET / sharing_gateways)
+        rate = attempts / 2 / max(EPSILON, window)
+        return budget.allows_attempt(now, rate, capacity=max(1.0, attempts / 2))
+
+    def record_attempt(self, budget: SlowStartBudget, started_at: float) -> None:
+        """Count an attempt at an endpoint: into its budget while it warms up, else into the warm rate."""
+        if self.capacity_fraction(started_at) < 1:
+            budget.record_attempt()
         else:
-            decay = math.exp((self.warm_attempts_at - self.context.now) / DECAY_SECONDS)
-            self.warm_attempts, self.warm_attempts_at = self.warm_attempts * decay + 1, self.context.now
+            self.warm_attempts.record(self.context.now)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -45,12 +45,12 @@
         for told in update.records:
             found = self.by_id.get(told.endpoint_id)
             if found is None:
-                found = Endpoint(told, {}, stable_hash(told.endpoint_id), EndpointState.READY)
+                found = Endpoint(told, stable_hash(told.endpoint_id))
                 found.last_response_at = now
                 self.by_id[told.endpoint_id] = found
-            if told.started_at > found.record.started_at or not found.slow_start_tokens_at:
+            if told.started_at > found.record.started_at or not found.slow_start_budget.has_begun:
                 found.latency, found.last_response_at = initial_latency, now
-                found.slow_start_tokens, found.slow_start_tokens_at = self.context.random.random(), now
+                found.slow_start_budget.begin(self.context.random.random(), now)
             found.record, found.state = told, told.state
         for gone in [e for e in self.by_id.values() if e.state is EndpointState.GONE and not e.in_flight]:
             del self.by_id[gone.record.endpoint_id]
@@ -60,18 +60,22 @@
         self.in_flight = sum(len(e.in_flight) for e in self.ready)
 
     def update_subset(self) -> None:
-        warm = [self.slow_start.slow_start_fraction(e) >= 1 for e in self.ready]
+        warm = [self.slow_start.capacity_fraction(e.record.started_at) >= 1 for e in self.ready]
         index, count = self.context.settings.gateway_index, self.context.gateway_count
         self.subset = [
             self.ready[n] for n in sorted(choose_subset(len(warm), warm.__getitem__, index, count))
         ]
+        self.subset_ids = frozenset(e.record.endpoint_id for e in self.subset)
         self.subset_expires_at = math.inf if all(warm) else self.context.now + DECAY_SECONDS / 4
 
 
 def seen(policy: Policy) -> tuple[object, ...]:
     """What the choice of an endpoint rests on."""
     table = policy.endpoints
-    states = {number: (e.state, len(e.in_flight), e.slow_start_tokens) for number, e in table.by_id.items()}
+    states = {
+        number: (e.state, len(e.in_flight), e.slow_start_budget.bucket.tokens)
+        for number, e in table.by_id.items()
+    }
     return [e.record for e in table.ready], [e.record for e in table.subset], table.in_flight, states
 
 
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -25,7 +25,8 @@
 
 
 def expected_latency(policy: Policy, endpoint: Endpoint) -> float:
-    return policy.load_balancer.expected_latency(endpoint, policy.slow_start.slow_start_fraction(endpoint))
+    fraction = policy.slow_start.capacity_fraction(endpoint.record.started_at)
+    return policy.load_balancer.expected_latency(endpoint, fraction)
 
 
 def test_an_endpoint_without_a_report_counts_as_busier_than_the_mean() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -112,8 +112,10 @@
         near = {b.record.endpoint_id for b in policy.endpoints.subset}
         if len(policy.endpoints.subset) < len(policy.endpoints.ready):
             allowed = policy.retries.allowed_endpoints(pending)
-            fraction = policy.slow_start.slow_start_fraction
-            others = [b for b in allowed if b.record.endpoint_id not in near and fraction(b) >= 1]
+            fraction = policy.slow_start.capacity_fraction
+            others = [
+                b for b in allowed if b.record.endpoint_id not in near and fraction(b.record.started_at) >= 1
+            ]
             walk = others if looked else [b for b in allowed if b.record.endpoint_id in near]
             assert [b.record.endpoint_id for b in candidates] == [b.record.endpoint_id for b in walk]
         looked.append([b.record.endpoint_id for b in candidates])
