--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -4,15 +4,15 @@
 from itertools import takewhile
 
 from gateway.policy.context import LATENCY_WEIGHT, REPORT_WEIGHT, TARGET_FRACTION, Context
-from gateway.policy.endpoints import INITIAL_LATENCY_SECONDS, Endpoint, EndpointTable
+from gateway.policy.endpoints import EndpointTable
+from gateway.policy.load_report import LoadReport
+from gateway.policy.outlier_detector import INITIAL_LATENCY_SECONDS, OUTLIER_FACTOR
 
 INITIAL_LIMIT = 12.0  # attempts in flight at a mean endpoint, of all gateways
 MIN_LIMIT = 4.0  # of the same: an idle core serves nobody
 DEVIATIONS = 0.7  # standard deviations of headroom above the mean: a gateway's load comes unevenly
 BACKOFF_FACTOR = 0.85  # on the limit when responses are late
 MAX_LATE_RATIO = 0.3  # of responses: more than one slow endpoint or costly request brings about
-OUTLIER_FACTOR = 2.5  # on the mean latency, from which an endpoint counts as slow and an attempt as hanging
-REPORT_LIFETIME_SECONDS = 1.5  # after which a load report says no more than the mean
 
 
 class ConcurrencyLimiter:
@@ -48,26 +48,25 @@
             self.lowered_at = self.context.now
             self.concurrency_limit = max(MIN_LIMIT / gateway_count, self.concurrency_limit * BACKOFF_FACTOR)
 
-    def record_load_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> None:
+    def record_load_report(self, load_report: LoadReport, report: tuple[float, ...]) -> None:
         """Keep a load report.  A missing one where others come means busy, not idle."""
         values = dict(zip(self.context.settings.report_columns, report, strict=False))
         load = values.get("inflight", values.get("queue", 0.0) + values.get("util", 0.0))
         if not values:
             load = self.mean_load + 1
         self.mean_load += REPORT_WEIGHT * (load - self.mean_load) if values else 0.0
-        endpoint.load, endpoint.load_reported_at = load, self.context.now
+        load_report.record(load, self.context.now)
 
-    def record_response(self, endpoint: Endpoint, class_index: int, latency: float) -> None:
+    def record_response(self, load_report: LoadReport, class_index: int, latency: float) -> None:
         """Keep the latency of a successful attempt."""
         self.loaded_latency += LATENCY_WEIGHT * (latency - self.loaded_latency)
-        self.observed_load += LATENCY_WEIGHT * (self.estimated_load(endpoint) - self.observed_load)
+        self.observed_load += LATENCY_WEIGHT * (self.estimated_load(load_report) - self.observed_load)
         self.mean_latency += LATENCY_WEIGHT / 4 * (latency - self.mean_latency)
         self.class_latency[class_index] += LATENCY_WEIGHT / 4 * (latency - self.class_latency[class_index])
 
-    def estimated_load(self, endpoint: Endpoint) -> float:
-        """What an endpoint holds, by its report; the mean where that is old."""
-        recent = self.context.now - endpoint.load_reported_at < REPORT_LIFETIME_SECONDS
-        return 1 + (endpoint.load if recent else self.mean_load)
+    def estimated_load(self, load_report: LoadReport) -> float:
+        """Return 1 plus the load of an endpoint, by its report or, where that is old, the mean load."""
+        return 1 + load_report.estimate(self.context.now, self.mean_load)
 
     def utilization(self) -> float:
         """The latency to expect at the reported load, over the target."""
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -9,10 +9,11 @@
 
 from gateway.policy.context import DECAY_SECONDS, Context, stable_hash
 from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
+from gateway.policy.load_report import LoadReport
+from gateway.policy.outlier_detector import OutlierDetector
 from gateway.policy.slow_start import SlowStart, SlowStartBudget
 from gateway.policy.subsetting import choose_subset
 
-INITIAL_LATENCY_SECONDS = 0.3  # assumed before the first response
 SUBSET_LIFETIME_SECONDS = DECAY_SECONDS / 4  # of a subset with warming endpoints, which come on top
 RING_ORDER = attrgetter("ring_position")
 
@@ -28,6 +29,8 @@
         ring_position: Its place among the endpoints, the same at every gateway.
         state: Its state in the endpoint list.
         in_flight: Unix time at which each attempt in flight started, in seconds; oldest first.
+        outlier_detector: What the outcomes of its attempts say of it.
+        load_report: The load that it has reported.
         slow_start_budget: The attempts that it may get while it warms up.
     """
 
@@ -35,14 +38,9 @@
     ring_position: int
     state: EndpointState = EndpointState.GONE
     in_flight: dict[AttemptKey, float] = field(default_factory=dict)
+    outlier_detector: OutlierDetector = field(default_factory=OutlierDetector)
+    load_report: LoadReport = field(default_factory=LoadReport)
     slow_start_budget: SlowStartBudget = field(default_factory=SlowStartBudget)
-    latency: float = INITIAL_LATENCY_SECONDS
-    last_response_at: float = 0.0
-    last_response_by_class: dict[int, float] = field(default_factory=dict)
-    last_outcome_at: float = 0.0
-    load: float = 0.0  # queued requests and utilization, as last reported
-    load_reported_at: float = -math.inf
-    silent_classes: dict[int, float] = field(default_factory=dict)  # classes left unanswered, and when
 
     @property
     def is_ready(self) -> bool:
@@ -138,8 +136,7 @@
             self.by_id[record.endpoint_id] = endpoint
         has_restarted = record.started_at > endpoint.record.started_at
         if has_restarted or not endpoint.slow_start_budget.has_begun:
-            endpoint.latency = initial_latency
-            endpoint.last_response_at = self.context.now
+            endpoint.outlier_detector.reset(initial_latency, self.context.now)
             self.slow_start.begin_budget(endpoint.slow_start_budget)
         endpoint.update_record(record)
         self._update_state(endpoint, record.state)
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -52,7 +52,7 @@
                 self._on_attempt_finished(event)
             case events.ProbeFinished() if event.endpoint_id in self.endpoints.by_id:
                 endpoint = self.endpoints.by_id[event.endpoint_id]
-                self.concurrency_limiter.record_load_report(endpoint, event.load_report)
+                self.concurrency_limiter.record_load_report(endpoint.load_report, event.load_report)
             case events.CounterReply():
                 self.admission.handle_counter_reply(event)
             case events.TimerFired():
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -3,15 +3,16 @@
 import math
 
 from gateway.policy.actions import Probe
-from gateway.policy.concurrency_limiter import OUTLIER_FACTOR, REPORT_LIFETIME_SECONDS, ConcurrencyLimiter
-from gateway.policy.context import DECAY_SECONDS, LATENCY_WEIGHT, REPORT_WEIGHT, TARGET_FRACTION, Context
+from gateway.policy.concurrency_limiter import ConcurrencyLimiter
+from gateway.policy.context import REPORT_WEIGHT, TARGET_FRACTION, Context
 from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
 from gateway.policy.events import AttemptFinished, Outcome
+from gateway.policy.load_report import REPORT_LIFETIME_SECONDS
+from gateway.policy.outlier_detector import EJECTION_FACTOR
 from gateway.policy.pending_request import PendingRequest
 from gateway.policy.slow_start import SlowStart
 
 MAX_CANDIDATES = 12  # endpoints compared for an attempt
-EJECTION_FACTOR = 8.0  # on the mean latency, for a failed connection; on the load, for a silent class
 PROBE_POOL_SIZE = 8  # load reports kept recent where they must be asked for
 LOAD_COLUMNS = frozenset({"inflight", "queue", "util"})  # of a report; without one probes are of no use
 
@@ -66,8 +67,8 @@
             budget = endpoint.slow_start_budget
             if fraction < 1 and not has_budget(budget, fraction, subset_size, ready_count):
                 continue
-            queued = in_flight + 1 + REPORT_WEIGHT * self.limiter.estimated_load(endpoint)
-            if now - endpoint.silent_classes.get(class_index, -math.inf) < 2 * DECAY_SECONDS:
+            queued = in_flight + 1 + REPORT_WEIGHT * self.limiter.estimated_load(endpoint.load_report)
+            if endpoint.outlier_detector.is_silent(class_index, now):
                 queued *= EJECTION_FACTOR
             score = expected * queued * (1 + random.random() / 20)
             if score < best_score:
@@ -76,34 +77,48 @@
 
     def expected_latency(self, endpoint: Endpoint, capacity_fraction: float) -> float:
         """At least as long as an endpoint has been silent; an outlier's latency fades to the mean."""
-        now, mean = self.context.now, self.limiter.mean_latency
+        now = self.context.now
         oldest = next(iter(endpoint.in_flight.values()), now)
-        fade = math.exp((endpoint.last_outcome_at - now) / DECAY_SECONDS)
-        latency = min(endpoint.latency, mean + max(0.0, endpoint.latency - mean) * fade)
-        return max(latency, now - max(oldest, endpoint.last_response_at)) / capacity_fraction
+        latency = endpoint.outlier_detector.expected_latency(now, self.limiter.mean_latency, oldest)
+        return latency / capacity_fraction
 
     def record_result(self, attempt: Attempt, event: AttemptFinished, pending: PendingRequest | None) -> None:
-        """Keep what an attempt's outcome says of its endpoint, and of the load of all."""
-        if event.outcome in (Outcome.CANCELLED, Outcome.NOT_STARTED):
+        """Record what an attempt's outcome says of its endpoint, and of the load of all."""
+        outcome = event.outcome
+        if outcome in (Outcome.CANCELLED, Outcome.NOT_STARTED):
             return
-        endpoint, now, limiter = attempt.endpoint, self.context.now, self.limiter
-        latency, late, endpoint.last_outcome_at = now - attempt.started_at, False, now
         if event.load_report:
-            limiter.record_load_report(endpoint, event.load_report)
-        if event.outcome is not Outcome.OK:
-            latency, late = max(latency, 2 * limiter.mean_latency), True
-        elif pending:
+            self.limiter.record_load_report(attempt.endpoint.load_report, event.load_report)
+        if outcome is Outcome.OK:
+            late = self._record_success(attempt, pending)
+        else:
+            late = True
+            self._record_failure(attempt, outcome)
+        is_outlier = attempt.endpoint.outlier_detector.is_outlier(self.limiter.mean_latency)
+        typical = not is_outlier and outcome is not Outcome.CONNECT_FAILED
+        self.limiter.record_outcome(late=late, typical=typical)
+
+    def _record_success(self, attempt: Attempt, pending: PendingRequest | None) -> bool:
+        """Record a response, of a request that is not closed if `pending`; return whether it was late."""
+        now = self.context.now
+        latency = now - attempt.started_at
+        detector = attempt.endpoint.outlier_detector
+        late = False
+        if pending:
             class_index = pending.request.class_index
-            endpoint.silent_classes.pop(class_index, None)
-            endpoint.last_response_at = endpoint.last_response_by_class[class_index] = now
-            limiter.record_response(endpoint, class_index, latency)
+            detector.record_response(class_index, now)
+            self.limiter.record_response(attempt.endpoint.load_report, class_index, latency)
             late = latency > TARGET_FRACTION * pending.request_class.latency_objective
-        endpoint.latency += LATENCY_WEIGHT * (latency - endpoint.latency)
-        if event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            # It is down, whatever the list says: avoided at once, tried again as this fades.
-            endpoint.latency = max(endpoint.latency, EJECTION_FACTOR * limiter.mean_latency)
-        healthy = endpoint.latency < OUTLIER_FACTOR * limiter.mean_latency
-        limiter.record_outcome(late=late, typical=healthy and event.outcome is not Outcome.CONNECT_FAILED)
+        detector.record_outcome(latency, now)
+        return late
+
+    def _record_failure(self, attempt: Attempt, outcome: Outcome) -> None:
+        now = self.context.now
+        mean_latency = self.limiter.mean_latency
+        detector = attempt.endpoint.outlier_detector
+        detector.record_outcome(max(now - attempt.started_at, 2 * mean_latency), now)
+        if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
+            detector.eject(mean_latency)  # it is down, whatever the endpoint list says
 
     def probe(self) -> None:
         """Ask a random endpoint for its load, as often as keeps a pool of reports recent."""
--- a/gateway/policy/moving_average.py
+++ b/gateway/policy/moving_average.py
@@ -22,6 +22,10 @@
         """Include one more sample."""
         self.value += self.weight * (sample - self.value)
 
+    def reset(self, value: float) -> None:
+        """Begin again with an assumed value."""
+        self.value = value
+
 
 def decay(since: float, now: float, time_constant: float) -> float:
     """Return the factor by which an observation made at `since` has decayed `now`; all in seconds."""
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -81,10 +81,10 @@
         now, class_index, endpoint = self.context.now, pending.request.class_index, attempt.endpoint
         latency = self.limiter.class_latency[class_index]
         # Any class's response hides that another gets none: silence is judged by endpoint and class.
-        last_response_at = endpoint.last_response_by_class.get(class_index, 0.0)
-        silent = now - max(attempt.started_at, last_response_at) >= SILENT_LATENCIES * latency
+        gap = endpoint.outlier_detector.response_gap(class_index, attempt.started_at, now)
+        silent = gap >= SILENT_LATENCIES * latency
         if silent:
-            endpoint.silent_classes[class_index] = now
+            endpoint.outlier_detector.mark_silent(class_index, now)
         in_time = now + latency <= pending.arrived_at + pending.request_class.latency_objective
         allowed = in_time and pending.attempts_started < self.limits.max_attempts
         factor = SILENT_LATENCIES if silent else LOST_LATENCIES
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -46,10 +46,9 @@
             found = self.by_id.get(told.endpoint_id)
             if found is None:
                 found = Endpoint(told, stable_hash(told.endpoint_id))
-                found.last_response_at = now
                 self.by_id[told.endpoint_id] = found
             if told.started_at > found.record.started_at or not found.slow_start_budget.has_begun:
-                found.latency, found.last_response_at = initial_latency, now
+                found.outlier_detector.reset(initial_latency, now)
                 found.slow_start_budget.begin(self.context.random.random(), now)
             found.record, found.state = told, told.state
         for gone in [e for e in self.by_id.values() if e.state is EndpointState.GONE and not e.in_flight]:
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -7,7 +7,6 @@
 
 from gateway.policy.actions import Action, Fail, Reject, SetTimer
 from gateway.policy.context import TICK_SECONDS
-from gateway.policy.endpoints import INITIAL_LATENCY_SECONDS
 from gateway.policy.events import (
     AttemptFinished,
     AttemptStarted,
@@ -18,6 +17,7 @@
     ProbeFinished,
     TimerFired,
 )
+from gateway.policy.outlier_detector import INITIAL_LATENCY_SECONDS
 from tests.support.policy import (
     START,
     FakeCounter,
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -35,8 +35,11 @@
     for endpoint in policy.endpoints.by_id:
         policy.handle(START, ProbeFinished(endpoint, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
     policy.handle(START, ProbeFinished(probe.endpoint_id, Outcome.OK, 0.01, ()))
-    silent = policy.concurrency_limiter.estimated_load(policy.endpoints.by_id[probe.endpoint_id])
-    assert all(silent > policy.concurrency_limiter.estimated_load(b) - 0.5 for b in policy.endpoints.ready)
+    silent = policy.concurrency_limiter.estimated_load(policy.endpoints.by_id[probe.endpoint_id].load_report)
+    assert all(
+        silent > policy.concurrency_limiter.estimated_load(endpoint.load_report) - 0.5
+        for endpoint in policy.endpoints.ready
+    )
     assert silent > 1 + policy.concurrency_limiter.mean_load
 
 
@@ -71,10 +74,12 @@
     (sent,) = started_attempts(policy.handle(START, make_request(1)))
     silent = policy.endpoints.by_id[sent.endpoint_id]
     policy.handle(START + 2.0, TimerFired(1))
-    silent.last_response_at = silent.last_outcome_at = START + 2.0
-    assert 0 in silent.silent_classes
-    assert 1 not in silent.silent_classes
+    detector = silent.outlier_detector
+    detector.last_response_at = START + 2.0
+    detector.last_outcome_at = START + 2.0
+    assert 0 in detector.silent_classes
+    assert 1 not in detector.silent_classes
     (again,) = started_attempts(policy.handle(START + 2.5, make_request(2)))
     assert again.endpoint_id != sent.endpoint_id
     policy.handle(START + 2.6, make_finished(1, sent, Outcome.OK, closed=True))
-    assert not silent.silent_classes
+    assert not detector.silent_classes
--- a/tests/scaletest/test_hollow_gateway.py
+++ b/tests/scaletest/test_hollow_gateway.py
@@ -35,4 +35,6 @@
         membership.serve_request(policy, number, hollow_gateway.START + 1 + number)
     assert not policy.pending
     endpoints = policy.endpoints.by_id.values()
-    assert sum(endpoint.last_response_at > hollow_gateway.START for endpoint in endpoints) > 5
+    assert (
+        sum(endpoint.outlier_detector.last_response_at > hollow_gateway.START for endpoint in endpoints) > 5
+    )
