--- /dev/null
+++ b/gateway/policy/endpoint_scorer.py
@@ -0,0 +1,79 @@
+"""The score of an endpoint for an attempt: its expected latency under its load, if it has capacity."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from gateway.policy.context import REPORT_WEIGHT
+from gateway.policy.endpoints import Endpoint
+from gateway.policy.outlier_detector import EJECTION_FACTOR
+from gateway.policy.slow_start import SlowStart
+
+JITTER_DIVISOR = 20  # a score rises by up to 1 / 20 at random, or equal gateways would choose alike
+
+
+@dataclass(slots=True, eq=False)
+class EndpointScorer:
+    """Scores the candidates for one attempt; it holds what is the same for all of them.
+
+    Attributes:
+        now: Unix time in seconds.
+        random: Returns a random number from 0 to 1.
+        slow_start: Which candidates are warming up, and what they may get.
+        class_index: Class of the request.
+        excluded_ids: Endpoints that the request's last attempts went to.
+        max_in_flight: Attempts that this gateway may have in flight at a fast endpoint of its subset.
+        mean_latency: Mean latency of all endpoints, in seconds.
+        fast_latency: Latency up to which an endpoint counts as fast, in seconds.
+        mean_load: Mean load of all endpoints, as reported.
+        subset_size: Endpoints in the gateway's subset.
+        ready_count: Endpoints that are ready.
+    """
+
+    now: float
+    random: Callable[[], float]
+    slow_start: SlowStart
+    class_index: int
+    excluded_ids: list[int]
+    max_in_flight: float
+    mean_latency: float
+    fast_latency: float
+    mean_load: float
+    subset_size: int
+    ready_count: int
+
+    def score(self, endpoint: Endpoint) -> float:
+        """Return the expected latency in seconds times the load; infinite without capacity."""
+        capacity_fraction = self.slow_start.capacity_fraction(endpoint.record.started_at)
+        latency = endpoint.expected_latency(self.now, self.mean_latency) / capacity_fraction
+        if not self._is_eligible(endpoint, latency, capacity_fraction):
+            return math.inf
+        return latency * self._expected_load(endpoint) * (1 + self.random() / JITTER_DIVISOR)
+
+    def _is_eligible(self, endpoint: Endpoint, latency: float, capacity_fraction: float) -> bool:
+        """Return whether an endpoint has capacity and is not one that the request was just sent to."""
+        in_flight = len(endpoint.in_flight)
+        if in_flight and in_flight >= self._limit_at(latency):
+            return False
+        if endpoint.record.endpoint_id in self.excluded_ids:
+            return False
+        if capacity_fraction >= 1:
+            return True
+        budget = endpoint.slow_start_budget
+        return self.slow_start.allows_attempt(budget, capacity_fraction, self.subset_size, self.ready_count)
+
+    def _limit_at(self, latency: float) -> float:
+        """Return the attempts in flight that this gateway may have at an endpoint of that latency."""
+        if latency <= self.fast_latency:
+            return self.max_in_flight
+        return self.max_in_flight * (self.fast_latency / latency)
+
+    def _expected_load(self, endpoint: Endpoint) -> float:
+        """Return the attempts at an endpoint, with this one and those of other gateways as reported."""
+        reported = 1 + endpoint.load_report.estimate(self.now, self.mean_load)
+        load = len(endpoint.in_flight) + 1 + REPORT_WEIGHT * reported
+        if endpoint.outlier_detector.is_silent(self.class_index, self.now):
+            return load * EJECTION_FACTOR
+        return load
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -1,86 +1,106 @@
-"""Which endpoint an attempt goes to: least expected latency, avoiding outliers; probes for load reports."""
+"""Which endpoint an attempt goes to, what its outcome says of the endpoint, and probes for load reports."""
+
+from __future__ import annotations
 
 import math
 
 from gateway.policy.actions import Probe
 from gateway.policy.concurrency_limiter import ConcurrencyLimiter
-from gateway.policy.context import REPORT_WEIGHT, TARGET_FRACTION, Context
+from gateway.policy.context import TARGET_FRACTION, Context
+from gateway.policy.endpoint_scorer import EndpointScorer
 from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
 from gateway.policy.events import AttemptFinished, Outcome
 from gateway.policy.load_report import REPORT_LIFETIME_SECONDS
-from gateway.policy.outlier_detector import EJECTION_FACTOR
 from gateway.policy.pending_request import PendingRequest
 from gateway.policy.slow_start import SlowStart
 
 MAX_CANDIDATES = 12  # endpoints compared for an attempt
+SUBSET_LIMIT_FACTOR = 2  # on the mean limit of attempts in flight, for one endpoint of the subset
+FAST_LATENCY_FACTOR = 1.5  # on the mean latency, up to which an endpoint gets its full limit of attempts
+EXCLUDED_ATTEMPTS = 2  # a request's next attempt avoids the endpoints of this many before it
+FAILED_LATENCY_FACTOR = 2  # on the mean latency, which a failed attempt counts as at the least
 PROBE_POOL_SIZE = 8  # load reports kept recent where they must be asked for
 LOAD_COLUMNS = frozenset({"inflight", "queue", "util"})  # of a report; without one probes are of no use
 
 
 class LoadBalancer:
-    """Chooses endpoints, and keeps what their outcomes say of each."""
+    """Chooses the endpoint with the least expected latency, and records the outcomes of attempts."""
 
     def __init__(
         self, context: Context, endpoints: EndpointTable, slow_start: SlowStart, limiter: ConcurrencyLimiter
     ) -> None:
-        self.context, self.endpoints, self.slow_start, self.limiter = context, endpoints, slow_start, limiter
-        settings, has_load = context.settings, not LOAD_COLUMNS.isdisjoint(context.settings.report_columns)
-        may_probe = settings.limits.may_probe and settings.report_mode == "pull" and has_load
-        self.next_probe_at = 0.0 if may_probe else math.inf
+        self.context = context
+        self.endpoints = endpoints
+        self.slow_start = slow_start
+        self.limiter = limiter
+        settings = context.settings
+        reports_load = not LOAD_COLUMNS.isdisjoint(settings.report_columns)
+        probes_help = settings.report_mode == "pull" and reports_load
+        self.next_probe_at = 0.0 if probes_help and settings.limits.may_probe else math.inf
 
     def choose(self, pending: PendingRequest, allowed: list[Endpoint]) -> Endpoint | None:
-        """The best allowed endpoint of the subset, else of a few warm others; None without capacity."""
+        """Return the best allowed endpoint, of the subset if any will do; None without capacity."""
         if not self.limiter.has_capacity():
             return None
-        if len(self.endpoints.subset) >= len(self.endpoints.ready):
+        endpoints = self.endpoints
+        if len(endpoints.subset) >= len(endpoints.ready):
             return self.best_of(pending, allowed)
-        if self.context.now >= self.endpoints.subset_expires_at:
-            self.endpoints.update_subset()
-        # All are looked at only where none of the subset will do: a request must not cost what a list does.
-        near, candidates = self.endpoints.subset_ids, self.endpoints.subset
-        if allowed is not self.endpoints.ready:
-            candidates = [e for e in allowed if e.record.endpoint_id in near]
-        if best := self.best_of(pending, candidates):
-            return best
-        fraction = self.slow_start.capacity_fraction  # one in slow start is in enough gateways' subsets
-        others = [
-            e for e in allowed if e.record.endpoint_id not in near and fraction(e.record.started_at) >= 1
+        if self.context.now >= endpoints.subset_expires_at:
+            endpoints.update_subset()
+        best = self.best_of(pending, self._in_subset(allowed))
+        if best is None:  # only now are all endpoints looked at, as that costs what the table holds
+            best = self.best_of(pending, self._warm_outside_subset(allowed))
+        return best
+
+    def _in_subset(self, allowed: list[Endpoint]) -> list[Endpoint]:
+        if allowed is self.endpoints.ready:
+            return self.endpoints.subset
+        subset_ids = self.endpoints.subset_ids
+        return [endpoint for endpoint in allowed if endpoint.record.endpoint_id in subset_ids]
+
+    def _warm_outside_subset(self, allowed: list[Endpoint]) -> list[Endpoint]:
+        """Return the endpoints outside the subset; those that warm up are in enough subsets as it is."""
+        subset_ids = self.endpoints.subset_ids
+        capacity_fraction = self.slow_start.capacity_fraction
+        return [
+            endpoint
+            for endpoint in allowed
+            if endpoint.record.endpoint_id not in subset_ids
+            and capacity_fraction(endpoint.record.started_at) >= 1
         ]
-        return self.best_of(pending, others)
 
     def best_of(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
-        """The candidate with the least expected latency under its load, of those that have capacity."""
-        random, now = self.context.random, self.context.now
+        """Return the candidate with the lowest score, of a random sample if there are many."""
         if len(candidates) > MAX_CANDIDATES:
-            candidates = random.sample(candidates, MAX_CANDIDATES)
-        subset_size, ready_count = len(self.endpoints.subset), len(self.endpoints.ready)
-        limit = 2 * self.limiter.concurrency_limit * ready_count / max(1, subset_size)
-        fast_latency = 1.5 * self.limiter.mean_latency
-        class_index, recently_tried = pending.request.class_index, pending.tried_endpoints[-2:]
-        has_budget, best, best_score = self.slow_start.allows_attempt, None, math.inf
+            candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
+        scorer = self._scorer_for(pending)
+        best = None
+        best_score = math.inf
         for endpoint in candidates:
-            fraction = self.slow_start.capacity_fraction(endpoint.record.started_at)
-            expected, in_flight = self.expected_latency(endpoint, fraction), len(endpoint.in_flight)
-            full = in_flight >= max(1.0, limit * min(1.0, fast_latency / expected))
-            if full or endpoint.record.endpoint_id in recently_tried:
-                continue
-            budget = endpoint.slow_start_budget
-            if fraction < 1 and not has_budget(budget, fraction, subset_size, ready_count):
-                continue
-            queued = in_flight + 1 + REPORT_WEIGHT * self.limiter.estimated_load(endpoint.load_report)
-            if endpoint.outlier_detector.is_silent(class_index, now):
-                queued *= EJECTION_FACTOR
-            score = expected * queued * (1 + random.random() / 20)
+            score = scorer.score(endpoint)
             if score < best_score:
-                best, best_score = endpoint, score
+                best = endpoint
+                best_score = score
         return best
 
-    def expected_latency(self, endpoint: Endpoint, capacity_fraction: float) -> float:
-        """At least as long as an endpoint has been silent; an outlier's latency fades to the mean."""
-        now = self.context.now
-        oldest = next(iter(endpoint.in_flight.values()), now)
-        latency = endpoint.outlier_detector.expected_latency(now, self.limiter.mean_latency, oldest)
-        return latency / capacity_fraction
+    def _scorer_for(self, pending: PendingRequest) -> EndpointScorer:
+        subset_size = len(self.endpoints.subset)
+        ready_count = len(self.endpoints.ready)
+        mean_latency = self.limiter.mean_latency
+        mean_limit = SUBSET_LIMIT_FACTOR * self.limiter.concurrency_limit
+        return EndpointScorer(
+            now=self.context.now,
+            random=self.context.random.random,
+            slow_start=self.slow_start,
+            class_index=pending.request.class_index,
+            excluded_ids=pending.tried_endpoints[-EXCLUDED_ATTEMPTS:],
+            max_in_flight=mean_limit * ready_count / max(1, subset_size),
+            mean_latency=mean_latency,
+            fast_latency=FAST_LATENCY_FACTOR * mean_latency,
+            mean_load=self.limiter.mean_load,
+            subset_size=subset_size,
+            ready_count=ready_count,
+        )
 
     def record_result(self, attempt: Attempt, event: AttemptFinished, pending: PendingRequest | None) -> None:
         """Record what an attempt's outcome says of its endpoint, and of the load of all."""
@@ -99,7 +119,7 @@
         self.limiter.record_outcome(late=late, typical=typical)
 
     def _record_success(self, attempt: Attempt, pending: PendingRequest | None) -> bool:
-        """Record a response, of a request that is not closed if `pending`; return whether it was late."""
+        """Record a response, to a request that is None if it was closed; return whether it was late."""
         now = self.context.now
         latency = now - attempt.started_at
         detector = attempt.endpoint.outlier_detector
@@ -115,14 +135,18 @@
     def _record_failure(self, attempt: Attempt, outcome: Outcome) -> None:
         now = self.context.now
         mean_latency = self.limiter.mean_latency
+        latency = max(now - attempt.started_at, FAILED_LATENCY_FACTOR * mean_latency)
         detector = attempt.endpoint.outlier_detector
-        detector.record_outcome(max(now - attempt.started_at, 2 * mean_latency), now)
+        detector.record_outcome(latency, now)
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             detector.eject(mean_latency)  # it is down, whatever the endpoint list says
 
     def probe(self) -> None:
         """Ask a random endpoint for its load, as often as keeps a pool of reports recent."""
-        if self.endpoints.ready and self.context.now >= self.next_probe_at:
-            self.next_probe_at = self.context.now + REPORT_LIFETIME_SECONDS / PROBE_POOL_SIZE
-            endpoint = self.context.random.choice(self.endpoints.ready)
-            self.context.actions.append(Probe(endpoint.record.endpoint_id))
+        now = self.context.now
+        ready = self.endpoints.ready
+        if not ready or now < self.next_probe_at:
+            return
+        self.next_probe_at = now + REPORT_LIFETIME_SECONDS / PROBE_POOL_SIZE
+        endpoint = self.context.random.choice(ready)
+        self.context.actions.append(Probe(endpoint.record.endpoint_id))
--- a/gateway/policy/outlier_detector.py
+++ b/gateway/policy/outlier_detector.py
@@ -78,8 +78,11 @@
         if latency > mean_latency:
             fade = decay(self.last_outcome_at, now, DECAY_SECONDS)
             latency = min(latency, mean_latency + (latency - mean_latency) * fade)
-        silence = now - max(oldest_attempt_at, self.last_response_at)
-        return max(latency, silence)
+        silent_since = self.last_response_at
+        if oldest_attempt_at > silent_since:
+            silent_since = oldest_attempt_at
+        silence = now - silent_since
+        return silence if silence > latency else latency
 
     def response_gap(self, class_index: int, since: float, now: float) -> float:
         """Return for how many seconds after `since` the class has got no response."""
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -25,8 +25,7 @@
 
 
 def expected_latency(policy: Policy, endpoint: Endpoint) -> float:
-    fraction = policy.slow_start.capacity_fraction(endpoint.record.started_at)
-    return policy.load_balancer.expected_latency(endpoint, fraction)
+    return endpoint.expected_latency(policy.context.now, policy.concurrency_limiter.mean_latency)
 
 
 def test_an_endpoint_without_a_report_counts_as_busier_than_the_mean() -> None:
