--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -36,7 +36,7 @@
         self.load_balancer = LoadBalancer(context, endpoints, self.slow_start, limiter)
         self.leases = LeaseTable(context, rate_limiter)
         self.admission = Admission(context, self.leases, rate_limiter, limiter, self._dispatch, self._reject)
-        self.retries = Retries(context, endpoints, limiter, self.load_balancer, self._start_attempt)
+        self.retries = Retries(context, endpoints, limiter, self.load_balancer)
         self.pending: dict[int, PendingRequest] = {}
         self.queue: list[PendingRequest] = []  # admitted, without an endpoint that has capacity
         self.requests_in_flight, self.timer_at, self.reclaim_at = 0, -math.inf, 0.0
@@ -155,6 +155,14 @@
             self.timer_at = due
             self.actions.append(SetTimer(due, 1))
 
+    def _replace_stalled_attempts(self) -> None:
+        requests = self.pending.values()
+        single = [pending for pending in requests if not pending.closed and len(pending.in_flight) == 1]
+        for pending in single:
+            endpoint = self.retries.replace_stalled_attempt(pending)
+            if endpoint is not None:
+                self._start_attempt(pending, endpoint)
+
     def _on_timer(self) -> None:
         now, latency = self.context.now, self.concurrency_limiter.mean_latency
         for pending in [p for p in self.pending.values() if not p.in_flight]:
@@ -165,7 +173,7 @@
         self.admission.retry_deferred_leases()
         self.queue = [pending for pending in self.queue if not pending.closed]
         self._dispatch_queued()
-        self.retries.replace_stalled_attempts(self.pending.values())
+        self._replace_stalled_attempts()
         if now >= self.reclaim_at:
             self.reclaim_at = now + WATCH_TICKS * TICK_SECONDS
             self.leases.reclaim_idle_credits()
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from operator import attrgetter
 
 from gateway.policy.endpoints import Attempt
 from gateway.policy.events import Request
@@ -50,6 +51,11 @@
             self.executed.append(attempt)
         return attempt
 
+    def first_effective_attempt(self) -> Attempt | None:
+        """Return the earliest attempt that has had an effect or may have one; None without any."""
+        attempts = [*self.in_flight.values(), *self.executed]
+        return min(attempts, key=attrgetter("started_at"), default=None)
+
     def close(self) -> None:
         """Mark the request as answered, or as one whose client is gone."""
         self.closed = True
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -90,7 +90,8 @@
         await until(lambda: costly)
         sent_at = time.monotonic()
         while time.monotonic() - sent_at < 0.5:
-            limiter.class_latency[1] = limiter.mean_latency = 0.1
+            limiter.class_latency[1].reset(0.1)
+            limiter.latency.reset(0.1)
             assert (await other.ask(1)).status == 200
         release.set()
         assert (await response).status == 200
@@ -112,7 +113,8 @@
     changes = {"tariffs__0__quota_rate": "0", "caps__second_copies": "false"}
     async with gateway_with_client(*endpoints, react=None, **changes) as gateway:
         limiter = gateway.process.driver.policy.concurrency_limiter
-        limiter.class_latency[0] = limiter.mean_latency = 0.02
+        limiter.class_latency[0].reset(0.02)
+        limiter.latency.reset(0.02)
         response = await gateway.client.ask()
         assert (response.status, response.body) == (200, b"done")
         assert len(seen) == 2
