--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -1,69 +1,96 @@
-"""How many calls a gateway makes to the counter."""
+"""The rate at which one gateway calls the counter."""
 
 import math
 
 from gateway.policy.context import Context
 from gateway.policy.events import CounterReply, Outcome
+from gateway.policy.moving_average import MovingAverage
+from gateway.policy.token_bucket import TokenBucket
 
 INITIAL_CALLS_PER_SECOND = 800.0  # of all gateways together
 MIN_CALLS_PER_SECOND = 60.0  # of all gateways, while the counter fails: enough to notice its recovery
-GROWTH_PER_SECOND = 0.25  # fraction by which the rate grows in a second of fast replies while it binds
+GROWTH_PER_SECOND = 0.25  # fraction by which the rate grows in a second of fast replies, if it is the limit
 BACKOFF_FACTOR = 0.88  # on the rate, for a call that fails or takes half its timeout
-BURST_SECONDS = 0.1  # seconds' worth of calls that may be saved up
+BURST_SECONDS = 0.1  # seconds whose calls may be saved up
 FAILURE_WEIGHT = 0.1  # of the newest call in the failure ratio
+UNAVAILABLE_RATIO = 0.5  # failure ratio above which the counter counts as unavailable
 
 
 class CounterRateLimiter:
-    """Limits the rate of counter calls by AIMD: up slowly, down when a call is rejected or slow."""
+    """Limits the rate of counter calls by AIMD: slow growth, and backoff when a call is rejected or slow.
 
-    # A broken connection counts only once most calls fail.  Does harm where resets are a sign of overload.
+    A broken connection counts only once most calls fail.
+
+    Attributes:
+        enabled: Whether there is a counter.
+        rate: Calls a second that this gateway may make.
+        failure_ratio: Fraction of the calls that got no reply.
+    """
 
     def __init__(self, context: Context) -> None:
-        settings, self.context = context.settings, context
-        self.enabled, self.timeout = settings.has_counter, settings.counter_timeout
+        settings = context.settings
+        self.context = context
+        self.enabled = settings.has_counter
+        self.timeout = settings.counter_timeout
         self.rate = INITIAL_CALLS_PER_SECOND / context.gateway_count if self.enabled else 0.0
-        self.stable_rate = self.rate  # before an outage
-        self.lowered_at, self.last_fast_reply_at = 0.0, math.inf
-        self.tokens, self.tokens_at = 1 + context.random.random(), 0.0
-        self.failure_ratio = 0.0  # of calls without a reply, smoothed
+        self.failure_ratio = MovingAverage(0.0, FAILURE_WEIGHT)
+        self.calls = TokenBucket(1 + context.random.random())
+        self._stable_rate = self.rate  # before an outage
+        self._lowered_at = 0.0
+        self._last_fast_reply_at = math.inf
 
     @property
     def is_unavailable(self) -> bool:
         """Whether most calls get no reply.  A counter that rejects calls is overloaded but available."""
-        return self.failure_ratio > 0.5
+        return self.failure_ratio.value > UNAVAILABLE_RATIO
 
     def record_reply(self, reply: CounterReply) -> None:
         """Adapt the rate to the outcome of a call."""
-        now, lowest = self.context.now, MIN_CALLS_PER_SECOND / self.context.gateway_count
-        succeeded, slow = reply.outcome is Outcome.OK, reply.elapsed >= self.timeout / 2
+        succeeded = reply.outcome is Outcome.OK
         overloaded = reply.outcome is Outcome.OVERLOADED
-        self.failure_ratio += FAILURE_WEIGHT * ((not succeeded and not overloaded) - self.failure_ratio)
+        slow = reply.elapsed >= self.timeout / 2
+        self.failure_ratio.record(float(not succeeded and not overloaded))
         if succeeded and not slow:
-            if self.rate < self.stable_rate / 2:
-                self.rate *= 2
-            elif self._available_calls() < 1.0:
-                # By time, not by reply: of many gateways each gets few replies.
-                self.rate *= 1 + GROWTH_PER_SECOND * min(1.0, max(0.0, now - self.last_fast_reply_at))
-                self.stable_rate = max(self.stable_rate, self.rate)
-            self.last_fast_reply_at = now
-        elif (self.is_unavailable or slow or overloaded) and now - self.lowered_at > 2 * self.timeout:
-            self.rate = max(lowest, self.rate * BACKOFF_FACTOR ** (1 + self.is_unavailable))
-            self.lowered_at = now
-            if not self.is_unavailable:
-                self.stable_rate = self.rate
+            self._increase_rate()
+        elif self.is_unavailable or slow or overloaded:
+            self._decrease_rate()
+
+    def _increase_rate(self) -> None:
+        """Double the rate up to half of that before an outage; then grow by time while it is the limit."""
+        now = self.context.now
+        if self.rate < self._stable_rate / 2:
+            self.rate *= 2
+        elif self._available_calls() < 1.0:
+            # By time, not by reply: of many gateways each gets few replies.
+            seconds = min(1.0, max(0.0, now - self._last_fast_reply_at))
+            self.rate *= 1 + GROWTH_PER_SECOND * seconds
+            self._stable_rate = max(self._stable_rate, self.rate)
+        self._last_fast_reply_at = now
+
+    def _decrease_rate(self) -> None:
+        """Back off once for the calls that were in flight together, and twice as far without replies."""
+        now = self.context.now
+        if now - self._lowered_at <= 2 * self.timeout:
+            return
+        lowest = MIN_CALLS_PER_SECOND / self.context.gateway_count
+        exponent = 2 if self.is_unavailable else 1
+        self.rate = max(lowest, self.rate * BACKOFF_FACTOR**exponent)
+        self._lowered_at = now
+        if not self.is_unavailable:
+            self._stable_rate = self.rate
 
     def record_call(self) -> None:
         """Count a call that is made."""
-        self.tokens, self.tokens_at = self._available_calls() - 1, self.context.now
+        self.calls.refill(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
+        self.calls.consume(1)
 
     def _available_calls(self) -> float:
-        accrued = self.tokens + (self.context.now - self.tokens_at) * self.rate
-        return min(2 + self.rate * BURST_SECONDS, accrued)
+        return self.calls.available(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
 
     def may_call(self) -> bool:
-        """Whether a call may be made now."""
+        """Return whether a call may be made now."""
         return self.enabled and self._available_calls() >= 1.0
 
     def has_headroom(self) -> bool:
-        """Whether calls are left for those that only refine a decision."""
+        """Return whether calls are left for those that only refine a decision."""
         return self._available_calls() > 1 + self.rate * BURST_SECONDS / 2
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -56,20 +56,16 @@
 def test_a_request_waits_for_its_call_and_then_goes_by_the_local_quota() -> None:
     counter, policy = FakeCounter(), make_policy()
     limiter = policy.counter_rate_limiter
-    limiter.tokens = 0.0
-    limiter.tokens_at = START
+    limiter.calls.reset(0.0, START)
     limiter.rate = 1.0
     assert not run_event(policy, counter, START, make_request(1))[0:0]
     assert not counter.calls
     assert not started_attempts(run_event(policy, counter, START, TimerFired(1)))
-    limiter.tokens = 5.0
+    limiter.calls.tokens = 5.0
     assert started_attempts(run_event(policy, counter, START + TICK_SECONDS, TimerFired(1)))
     assert counter.calls
-    limiter.tokens, limiter.tokens_at, limiter.rate = (
-        0.0,
-        START + TICK_SECONDS,
-        0.1,
-    )
+    limiter.calls.reset(0.0, START + TICK_SECONDS)
+    limiter.rate = 0.1
     later = [*run_event(policy, counter, START + TICK_SECONDS, make_request(2, customer=6))]
     patience = MAX_WAIT_FRACTION * policy.settings.classes[0].latency_objective
     later += run_event(policy, counter, START + 2 * TICK_SECONDS + patience, TimerFired(1))
@@ -101,7 +97,7 @@
     policy, counter = make_policy(), FakeCounter()
     (first,) = started_attempts(run_event(policy, counter, START, make_request(1, customer=9)))
     if waits_for == "turn":
-        policy.counter_rate_limiter.tokens = -1e6
+        policy.counter_rate_limiter.calls.tokens = -1e6
     if waits_for == "room":
         policy.concurrency_limiter.concurrency_limit = 1e-9
         found = run_event(policy, counter, START + 0.1, make_request(2))
@@ -114,7 +110,8 @@
     policy.handle(START + 0.15, ClientDisconnected(2))
     assert 2 not in policy.pending
     assert not policy.leases.by_customer[5, QuotaKind.RATE].waiters
-    policy.counter_rate_limiter.tokens, policy.concurrency_limiter.concurrency_limit = 100.0, 10.0
+    policy.counter_rate_limiter.calls.tokens = 100.0
+    policy.concurrency_limiter.concurrency_limit = 10.0
     found = [action for call in calls for action in policy.handle(START + 0.2, counter.answer(call))]
     found += run_event(policy, counter, START + 0.2, make_finished(1, first, Outcome.OK))
     asked = counter.calls
@@ -132,7 +129,7 @@
         counter.by_others = spent
         for customer in range(1000, 1040):
             serve(policy, counter, START + customer - 1000, customer, customer=customer, gateway_set_size=100)
-        policy.counter_rate_limiter.failure_ratio = 1.0  # the counter is unavailable from here on
+        policy.counter_rate_limiter.failure_ratio.value = 1.0  # the counter is unavailable from here on
         return sum(
             serve(policy, counter, START, request_id, customer=request_id, gateway_set_size=100)
             for request_id in range(2000, 2300)
@@ -150,7 +147,7 @@
         policy.handle(START, ProbeFinished(1, Outcome.OK, 0.01, (40.0,)))
     policy.handle(START, make_request(1))
     assert not policy.admission.within_local_quota(only_lease(policy), 1.0)
-    policy.counter_rate_limiter.failure_ratio = 1.0
+    policy.counter_rate_limiter.failure_ratio.value = 1.0
     assert policy.admission.within_local_quota(only_lease(policy), 1.0)
 
 
