--- /dev/null
+++ b/gateway/policy/admission_ticket.py
@@ -0,0 +1,31 @@
+"""What a request needs, and holds, of its customer's leases."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from gateway.policy.lease import Lease
+from gateway.policy.pending_request import PendingRequest
+
+
+@dataclass(slots=True, eq=False)
+class AdmissionTicket:
+    """The leases that a request needs a credit of, and those whose credit it holds.
+
+    Attributes:
+        pending: The request.
+        leases: One lease for each quota of its customer's plan.
+        credits_held: The leases whose credit it holds, each with the refill time in which it was taken.
+    """
+
+    pending: PendingRequest
+    leases: list[Lease]
+    credits_held: dict[Lease, int] = field(default_factory=dict)
+
+    def hold_credit(self, lease: Lease) -> None:
+        """Record that the request has taken a credit of a lease in its present refill time."""
+        self.credits_held[lease] = lease.refill_index
+
+    def drop_credit(self, lease: Lease) -> None:
+        """Record that the request no longer holds its credit of a lease."""
+        del self.credits_held[lease]
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -5,36 +5,21 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
-from enum import IntEnum
 
 from gateway.policy.context import EPSILON
 from gateway.policy.events import Outcome
 from gateway.policy.lease_sizing import BatchSizer
 from gateway.policy.pending_request import PendingRequest
-from gateway.policy.settings import Plan
+from gateway.policy.quota import Quota, QuotaKind
 
 MIN_LOST_UNITS = 0.01  # by which a total must be too low to count as lost
 
 
-class QuotaKind(IntEnum):
-    """What a lease is a part of."""
-
-    RATE = 0  # units that fill at the plan's rate
-    CONCURRENCY = 1  # slots of requests in progress
-
-
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Lease:
     """A customer's leased part of a quota at this gateway; amounts in units, or in slots."""
 
-    customer: int
-    plan: Plan
-    gateway_set_size: int  # gateways that serve this customer
-    kind: QuotaKind
-    window_length: float
-    phase: float  # customers' windows begin at different times, to spread the calls
-    window_limit: float  # that may be leased at once
-    refill_time: float  # seconds in which that fills again
+    quota: Quota
     sizer: BatchSizer
     window_index: int = -1
     refill_index: int = -1  # refill times passed
@@ -62,67 +47,65 @@
     local_tokens_at: float = 0.0
     last_used_at: float = 0.0
     is_frequent: bool = False  # whether the last two requests came within a refill time
-    waiters: deque[AdmissionTicket] = field(default_factory=deque)
-
-    def units_of(self, pending: PendingRequest) -> float:
-        """What a request takes of this quota."""
-        return 1.0 if self.kind is QuotaKind.CONCURRENCY else pending.request.units
+    waiters: deque[PendingRequest] = field(default_factory=deque)
 
     def spendable_credits(self, now: float) -> float:
         """Credits that may be spent now."""
-        return self.credits - max(0.0, self.accruing_credits - (now - self.accruing_since) * self.plan.rate)
+        accrued = (now - self.accruing_since) * self.quota.plan.rate
+        return self.credits - max(0.0, self.accruing_credits - accrued)
 
     def quota_level(self, now: float) -> float:
         """What the customer's quota holds, the same for all gateways that have seen the same total."""
         # It was full when the window began and fills at the rate; the total has all that was taken, and the
         # overflow, or levels would drift apart.  Does harm where a gateway dies before it corrects a total.
-        elapsed = now + self.phase - self.window_index * self.window_length
-        return self.plan.burst + elapsed * self.plan.rate - self.counter_total - self.unreported_units
+        elapsed = now + self.quota.phase - self.window_index * self.quota.window_length
+        filled = elapsed * self.quota.plan.rate
+        return self.quota.plan.burst + filled - self.counter_total - self.unreported_units
 
     def available_quota(self, now: float) -> float:
         """What of the quota can be leased now."""
-        return min(self.plan.burst, self.quota_level(now))
+        return min(self.quota.plan.burst, self.quota_level(now))
 
     def is_half_full(self, now: float) -> bool:
         """Whether the quota was half full so recently that it can hardly have run dry since."""
-        recent = now - self.synchronized_at < self.plan.burst / max(EPSILON, self.plan.rate)
-        known = self.kind is QuotaKind.RATE and self.synchronized and recent
-        return known and self.available_quota(now) >= self.plan.burst / 2
+        recent = now - self.synchronized_at < self.quota.plan.burst / max(EPSILON, self.quota.plan.rate)
+        known = self.quota.key.kind is QuotaKind.RATE and self.synchronized and recent
+        return known and self.available_quota(now) >= self.quota.plan.burst / 2
 
     def roll_window(self, now: float) -> None:
         """Expire credits at the window's edge; adapt the batch size after each refill time."""
-        refill_index = math.floor((now + self.phase) / self.refill_time)
+        refill_index = self.quota.refill_index(now)
         if refill_index != self.refill_index:
             if self.refill_index >= 0:
                 self.update_batch_size(now)
             self.refill_index, self.served_units = refill_index, 0.0
-        window_index = math.floor((now + self.phase) / self.window_length)
+        window_index = self.quota.window_index(now)
         if window_index == self.window_index:
             return
-        if self.kind is QuotaKind.CONCURRENCY:
+        if self.quota.key.kind is QuotaKind.CONCURRENCY:
             self.unreported_units = float(self.slots_in_use)
         else:
             # The next total begins with what the quota lacks: a burst, and one that is leased ahead at most.
-            filled = (window_index - self.window_index) * self.window_length * self.plan.rate
+            filled = (window_index - self.window_index) * self.quota.window_length * self.quota.plan.rate
             lacking = self.counter_total + self.unreported_units - self.credits - filled
-            self.unreported_units = self.carried_deficit = min(max(0.0, lacking), 2 * self.plan.burst)
+            self.unreported_units = self.carried_deficit = min(max(0.0, lacking), 2 * self.quota.plan.burst)
             self.expired_credits = self.credits
         self.window_index, self.synchronized, self.denied_until = window_index, False, 0.0
         self.credits = self.accruing_credits = self.confirmed_units = self.counter_total = 0.0
 
     def update_batch_size(self, now: float) -> None:
         """Learn the batch size from the demand of the refill time that ends."""
-        used = self.counter_total / self.window_limit
-        if self.kind is QuotaKind.RATE:
-            used = 1 - self.available_quota(now) / self.plan.burst
-        self.sizer.update(self.served_units, used, self.window_limit)
+        used = self.counter_total / self.quota.limit
+        if self.quota.key.kind is QuotaKind.RATE:
+            used = 1 - self.available_quota(now) / self.quota.plan.burst
+        self.sizer.update(self.served_units, used, self.quota.limit)
 
     def confirm_total(self, total: float, amount: float, later_units: float, now: float) -> bool:
         """Take over a total after `amount`, before `later_units`; whether the counter had lost it."""
         self.confirmed_units += amount
         lost_units = self.confirmed_units - total
         if lost_units > MIN_LOST_UNITS:
-            rate = self.kind is QuotaKind.RATE
+            rate = self.quota.key.kind is QuotaKind.RATE
             self.unreported_units += self.counter_total - later_units - total if rate else lost_units
             self.confirmed_units = total
         elif total > EPSILON:
@@ -140,24 +123,7 @@
             self.counter_total -= amount
             own_units = 0.0 if is_return else self.requested_units + self.overflow_units
             self.unreported_units += amount - own_units
-        elif not is_return and self.kind is QuotaKind.RATE:
+        elif not is_return and self.quota.key.kind is QuotaKind.RATE:
             self.unreported_units -= self.requested_units  # of no use here any more
             if self.synchronized:  # else the carried deficit was not part of it
                 self.carried_deficit = self.expired_credits = 0.0
-
-
-@dataclass(slots=True, eq=False)
-class AdmissionTicket:
-    """The leases that a request needs a credit of, and those whose credit it holds.
-
-    Attributes:
-        pending: The request.
-        leases: One lease for each quota of its customer's plan.
-        held_leases: Those of them that it holds a credit of.
-        refill_index: Refill time in which it got its rate credit.
-    """
-
-    pending: PendingRequest
-    leases: list[Lease]
-    held_leases: list[Lease] = field(default_factory=list)
-    refill_index: int = 0
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -5,20 +5,19 @@
 from dataclasses import dataclass
 
 from gateway.policy.actions import AddToCounter, Log
-from gateway.policy.context import EPSILON, LATENCY_WEIGHT, REPORT_WEIGHT, Context, stable_hash
+from gateway.policy.admission_ticket import AdmissionTicket
+from gateway.policy.context import EPSILON, LATENCY_WEIGHT, REPORT_WEIGHT, Context
 from gateway.policy.counter_rate_limiter import CounterRateLimiter
 from gateway.policy.events import CounterReply, Outcome, Request
-from gateway.policy.lease import AdmissionTicket, Lease, QuotaKind
+from gateway.policy.lease import Lease
 from gateway.policy.lease_sizing import BatchSizer
+from gateway.policy.quota import LeaseKey, QuotaKind, Shortfall
+from gateway.policy.quota_factory import make_quota
 
-WINDOW_SECONDS = 20.0  # what is leased near an edge is seen by the other gateways as late as after it
 MAX_IDLE_SECONDS = 30.0  # after which a lease is forgotten
-IDLE_FRACTION = 0.25  # of the refill time, after which unused credits are returned
 MIN_CORRECTION = 0.02  # units; a total wrong by less is put right by the next lease
 EXPIRY_SECONDS = 60.0  # after which the counter forgets a window's total
 
-LeaseKey = tuple[int, QuotaKind]
-
 
 @dataclass(slots=True)
 class PendingAdd:
@@ -43,58 +42,51 @@
 
     def use(self, request: Request, kind: QuotaKind) -> Lease:
         """The lease for a request, in its current window."""
-        key, now = (request.customer, kind), self.context.now
+        key, now = LeaseKey(request.customer, kind), self.context.now
         lease = self.by_customer.pop(key, None) or self._create(request, kind)
         self.by_customer[key] = lease
         lease.roll_window(self.context.now)
-        lease.is_frequent, lease.last_used_at = now - lease.last_used_at < lease.refill_time, now
+        lease.is_frequent, lease.last_used_at = now - lease.last_used_at < lease.quota.refill_time, now
         return lease
 
     def _create(self, request: Request, kind: QuotaKind) -> Lease:
-        settings, plan = self.context.settings, self.context.settings.plans[request.plan_index]
-        if kind is QuotaKind.CONCURRENCY:
-            limit = float(plan.max_concurrency)
-            length = refill_time = 2 * max(c.deadline for c in settings.classes)
-        else:  # whole units: a burst, or under a ceiling what fits it twice, and twice more locally
-            largest = min(plan.burst, plan.ceiling_burst / 4 if plan.ceiling_rate else plan.burst)
-            limit, length = max(1.0, math.floor(largest)), WINDOW_SECONDS
-            refill_time = limit / plan.rate
-        set_size = max(1, min(request.gateway_set_size, settings.gateway_count))
-        phase = stable_hash(request.customer) / 2**64 * length
-        sizer = BatchSizer(math.log(max(1.0, limit / set_size)), settings.counter_price)  # its part at first
-        return Lease(request.customer, plan, set_size, kind, length, phase, limit, refill_time, sizer)
+        settings = self.context.settings
+        quota = make_quota(request, kind, settings)
+        fair_share = max(1.0, quota.limit / quota.gateway_set_size)
+        return Lease(quota, BatchSizer(math.log(fair_share), settings.counter_price))
 
     def spend(self, lease: Lease, ticket: AdmissionTicket, units: float) -> None:
         """Hand a request the credits that it needs."""
         lease.credits -= units
         lease.served_units += units
         lease.slots_in_use += 1
-        ticket.held_leases.append(lease)
-        if lease.kind is QuotaKind.RATE:
-            ticket.refill_index = lease.refill_index
-        if lease.kind is QuotaKind.CONCURRENCY or lease.credits > EPSILON:
-            self.reclaimable[lease.customer, lease.kind] = lease
+        ticket.hold_credit(lease)
+        if lease.quota.is_reclaimable(lease.credits):
+            self.reclaimable[lease.quota.key] = lease
 
     def release(self, ticket: AdmissionTicket) -> None:
         """Take back what a closed request holds: its slots, and rate credits if it was never sent."""
-        pending = ticket.pending
-        for lease in ticket.held_leases:
+        for lease in ticket.credits_held:
+            quota = lease.quota
             lease.roll_window(self.context.now)
             lease.slots_in_use -= 1
-            if lease.kind is QuotaKind.RATE:
-                lease.credits += 0.0 if pending.attempts_started else pending.request.units
-            elif not self.rate_limiter.may_call() or lease.unreported_units > 0:
-                lease.unreported_units -= 1
-            else:
-                self._return_units(lease, 1.0)
+            lease.credits += quota.refundable_units(ticket.pending)
+            if quota.slots_per_request:
+                self._return_slots(lease, quota.slots_per_request)
+
+    def _return_slots(self, lease: Lease, slots: float) -> None:
+        if not self.rate_limiter.may_call() or lease.unreported_units > 0:
+            lease.unreported_units -= slots
+        else:
+            self._return_units(lease, slots)
 
     def drop_expired_credit(self, ticket: AdmissionTicket) -> bool:
-        """Whether a request's rate credit has expired with its refill time, and had to be dropped."""
+        """Drop a request's credit if it has expired with its refill time; return whether it had."""
         for lease in ticket.leases:
             lease.roll_window(self.context.now)
-            if lease.kind is QuotaKind.RATE and lease.refill_index != ticket.refill_index:
+            if lease.quota.has_credit_expired(ticket.credits_held[lease], lease.refill_index):
                 lease.slots_in_use -= 1
-                ticket.held_leases.remove(lease)
+                ticket.drop_credit(lease)
                 return True
         return False
 
@@ -102,17 +94,17 @@
         """Request a batch, unless one is in flight: further requests wait for that one."""
         if lease.in_flight:
             return
-        needed, batch = sum(lease.units_of(ticket.pending) for ticket in lease.waiters) - lease.credits, 1.0
+        needed, batch = sum(lease.quota.units_of(pending) for pending in lease.waiters) - lease.credits, 1.0
         lease.in_flight, lease.overflow_units, lease.units_before_sync = True, 0.0, 0.0
-        if lease.kind is QuotaKind.RATE:
+        if lease.quota.key.kind is QuotaKind.RATE:
             # Whole units: a fraction would serve nobody and expire.  No more than the quota holds.
             available = lease.available_quota(self.context.now)
             batch = float(round(min(math.exp(lease.sizer.log_batch_size), available)))
             if lease.synchronized:
-                lease.overflow_units = max(0.0, lease.quota_level(self.context.now) - lease.plan.burst)
+                lease.overflow_units = max(0.0, lease.quota_level(self.context.now) - lease.quota.plan.burst)
         amount = lease.requested_units = max(needed, 1.0, batch)
         # What others have added in this window is known with the first reply: see `report_carry_over`.
-        if lease.synchronized or lease.kind is QuotaKind.CONCURRENCY:
+        if lease.synchronized or lease.quota.key.kind is QuotaKind.CONCURRENCY:
             amount = lease.requested_units + lease.unreported_units + lease.overflow_units
             lease.unreported_units = 0.0
         self._add(lease, amount, is_return=False)
@@ -131,11 +123,13 @@
             self._add(lease, -units, is_return=True)
 
     def _add(self, lease: Lease, amount: float, *, is_return: bool) -> None:
-        name = stable_hash(lease.customer, lease.window_index, lease.kind is QuotaKind.CONCURRENCY)
+        name = lease.quota.counter_name(lease.window_index)
         pending_adds = self.pending_adds.setdefault(name, deque())
         pending_adds.append(PendingAdd(lease, lease.window_index, amount, is_return))
         lease.counter_total += amount
-        self.context.actions.append(AddToCounter(name, amount, min(EXPIRY_SECONDS, 4 * lease.window_length)))
+        self.context.actions.append(
+            AddToCounter(name, amount, min(EXPIRY_SECONDS, 4 * lease.quota.window_length))
+        )
         self.rate_limiter.record_call()
 
     def handle_reply(self, reply: CounterReply) -> PendingAdd | None:
@@ -149,7 +143,7 @@
         lease = call.lease
         self.rate_limiter.record_reply(reply)
         lease.roll_window(self.context.now)
-        call.is_first = not lease.synchronized and lease.kind is QuotaKind.RATE
+        call.is_first = not lease.synchronized and lease.quota.key.kind is QuotaKind.RATE
         if call.window_index == lease.window_index:
             if reply.outcome is Outcome.OK:
                 self.reconcile(call, reply.total, sum(later.amount for later in pending_adds))
@@ -162,18 +156,20 @@
         """Take over a total of the current window; `later_units` are in flight behind the call."""
         lease, now = call.lease, self.context.now
         if lease.confirm_total(total, call.amount, later_units, now):
-            self.context.actions.append(Log(f"counter-lost customer={lease.customer}"))
-        if lease.kind is QuotaKind.CONCURRENCY or call.is_return:
+            self.context.actions.append(Log(f"counter-lost customer={lease.quota.key.customer}"))
+        if lease.quota.key.kind is QuotaKind.CONCURRENCY or call.is_return:
             return
         # What is missing beyond a burst was added in error by a dead gateway, or admitted locally for long.
         requested = lease.requested_units
         level = lease.quota_level(now) + requested + lease.units_before_sync + lease.overflow_units
-        if level < -lease.plan.burst - 2 * lease.gateway_set_size:
+        if level < -lease.quota.plan.burst - 2 * lease.quota.gateway_set_size:
             lease.unreported_units += level
         if call.is_first:  # `report_carry_over` adds the overflow, now that it is known
-            lease.overflow_units = max(0.0, lease.quota_level(now) + requested - lease.plan.burst)
+            lease.overflow_units = max(0.0, lease.quota_level(now) + requested - lease.quota.plan.burst)
             return
-        mistaken = lease.overflow_units - max(0.0, level - lease.plan.burst)  # or added by others before
+        mistaken = lease.overflow_units - max(
+            0.0, level - lease.quota.plan.burst
+        )  # or added by others before
         if not requested and mistaken < lease.overflow_units / 2:
             return  # nobody else added it at the same time: what differs was leased
         missing = lease.unreported_units = lease.unreported_units - mistaken
@@ -183,21 +179,17 @@
 
     def apply_grant(self, lease: Lease) -> bool:
         """Keep what the quota grants of the requested units, return the rest; whether all was granted."""
-        now, rate = self.context.now, lease.kind is QuotaKind.RATE
-        excess = max(0.0, -lease.quota_level(now) if rate else lease.counter_total - lease.window_limit)
+        now, rate = self.context.now, lease.quota.key.kind is QuotaKind.RATE
+        excess = max(0.0, -lease.quota_level(now) if rate else lease.counter_total - lease.quota.limit)
         granted, all_granted = max(0.0, lease.requested_units - excess), excess <= EPSILON
-        if rate and not all_granted:
-            # Units that are missing by less than one come with time, and wait here for it.
-            granted = min(lease.requested_units, math.ceil(granted - EPSILON))
-            if granted < 1 and lease.is_frequent and excess - (lease.requested_units - 1) <= lease.plan.burst:
-                granted = 1.0  # the next unit is leased ahead, which saves returning it and asking again
-            ahead = max(0.0, excess - (lease.requested_units - granted))
-            lease.accruing_credits, lease.accruing_since = ahead, now
-        elif not all_granted:  # whole slots
-            granted = math.floor(granted + lease.credits + EPSILON) - lease.credits
+        if not all_granted:
+            shortfall = Shortfall(lease.requested_units, excess, lease.credits, lease.is_frequent)
+            grant = lease.quota.partial_grant(shortfall)
+            granted = grant.units
+            lease.accruing_credits, lease.accruing_since = grant.accruing_units, now
         self._return_units(lease, lease.requested_units - granted)
         lease.grant_ratio += REPORT_WEIGHT * (all_granted - lease.grant_ratio)
-        ratios, plan = self.grant_ratio_by_plan, lease.plan.name
+        ratios, plan = self.grant_ratio_by_plan, lease.quota.plan.name
         ratios[plan] += LATENCY_WEIGHT * (all_granted - ratios[plan])
         lease.consecutive_denials = 0 if all_granted else lease.consecutive_denials
         lease.credits += granted
@@ -210,12 +202,12 @@
             lease.roll_window(now)
             if lease.in_flight or not self.rate_limiter.may_call():
                 continue
-            rate = lease.kind is QuotaKind.RATE
+            rate = lease.quota.key.kind is QuotaKind.RATE
             if not rate and lease.unreported_units > 0:
                 units, lease.unreported_units = lease.unreported_units, 0.0
                 self._add(lease, units, is_return=True)
-            idle = rate and now - lease.last_used_at > IDLE_FRACTION * lease.refill_time
-            scarce = lease.available_quota(now) < lease.plan.burst / 2  # else nobody misses it
+            idle = lease.quota.are_credits_idle(now - lease.last_used_at)
+            scarce = lease.available_quota(now) < lease.quota.plan.burst / 2  # else nobody misses it
             if idle and scarce and self.rate_limiter.has_headroom():
                 units, lease.credits = lease.credits, 0.0
                 self._return_units(lease, units)
--- /dev/null
+++ b/gateway/policy/quota.py
@@ -0,0 +1,209 @@
+"""Quotas: what a plan allows each of its customers over all gateways together."""
+
+from __future__ import annotations
+
+import math
+from abc import ABC, abstractmethod
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import ClassVar, NamedTuple
+
+from gateway.policy.context import EPSILON, stable_hash
+from gateway.policy.pending_request import PendingRequest
+from gateway.policy.settings import Plan
+
+IDLE_FRACTION = 0.25  # of the refill time, after which unused credits count as idle
+
+
+class QuotaKind(IntEnum):
+    """The kinds of quota that a plan may have."""
+
+    RATE = 0
+    CONCURRENCY = 1
+
+
+class LeaseKey(NamedTuple):
+    """What identifies a lease at a gateway."""
+
+    customer: int
+    kind: QuotaKind
+
+
+@dataclass(slots=True, frozen=True)
+class Shortfall:
+    """A requested lease that exceeds its quota.
+
+    Attributes:
+        requested_units: Units that were requested.
+        excess: Units by which the quota is exceeded.
+        credits: Credits that the lease held before.
+        is_frequent: Whether the customer's last two requests came within a refill time.
+    """
+
+    requested_units: float
+    excess: float
+    credits: float
+    is_frequent: bool
+
+
+@dataclass(slots=True, frozen=True)
+class Grant:
+    """The part of a requested lease that is kept.
+
+    Attributes:
+        units: Units that are kept.
+        accruing_units: Units that are leased ahead, and can be spent only as the quota refills.
+    """
+
+    units: float
+    accruing_units: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class Quota(ABC):
+    """One limit of a customer's plan; amounts in units, or in slots of requests in progress.
+
+    Attributes:
+        key: Key of the leases of this quota.
+        plan: The customer's plan.
+        gateway_set_size: Gateways that serve the customer.
+        limit: Units that may be leased at once.
+        burst: Units that the full quota holds.
+        window_length: Seconds after which the counter begins a new total.
+        refill_time: Seconds in which the limit accrues again.
+        phase: Seconds by which the customer's windows begin earlier than others', to spread the calls.
+    """
+
+    key: LeaseKey
+    plan: Plan
+    gateway_set_size: int
+    limit: float
+    burst: float
+    window_length: float
+    refill_time: float
+    phase: float
+
+    counts_slots: ClassVar[bool]  # part of the counter's name
+    slots_per_request: ClassVar[float]  # slots that are returned to the counter when a request has ended
+
+    def window_index(self, now: float) -> int:
+        """Return the number of the window at a Unix time."""
+        return math.floor((now + self.phase) / self.window_length)
+
+    def refill_index(self, now: float) -> int:
+        """Return the number of the refill time at a Unix time."""
+        return math.floor((now + self.phase) / self.refill_time)
+
+    def counter_name(self, window_index: int) -> int:
+        """Return the name under which the counter keeps the total of a window."""
+        return stable_hash(self.key.customer, window_index, self.counts_slots)
+
+    @abstractmethod
+    def units_of(self, pending: PendingRequest) -> float:
+        """Return the units that the request consumes from this quota."""
+
+    @abstractmethod
+    def accrual_rate(self, mean_latency: float) -> float:
+        """Return the units a second that become available, given the endpoints' mean latency in seconds."""
+
+    @abstractmethod
+    def partial_grant(self, shortfall: Shortfall) -> Grant:
+        """Return the part of a lease to keep that exceeds the quota; the rest is returned."""
+
+    @abstractmethod
+    def has_credit_expired(self, taken_in: int, refill_index: int) -> bool:
+        """Return whether a credit has expired that a request has held since the refill time `taken_in`."""
+
+    @abstractmethod
+    def refundable_units(self, pending: PendingRequest) -> float:
+        """Return the units that a lease gets back when a request has ended."""
+
+    @abstractmethod
+    def is_reclaimable(self, credits_left: float) -> bool:
+        """Return whether a lease in use, with these credits left, may have units to return to the counter."""
+
+    @abstractmethod
+    def are_credits_idle(self, idle_seconds: float) -> bool:
+        """Return whether credits that were not used for this time should be returned."""
+
+
+class RateQuota(Quota):
+    """A quota of units that accrue at the plan's rate."""
+
+    __slots__ = ()
+    counts_slots = False
+    slots_per_request = 0.0
+
+    def units_of(self, pending: PendingRequest) -> float:
+        """Return the request's own units."""
+        return pending.request.units
+
+    def accrual_rate(self, _mean_latency: float) -> float:
+        """Return the plan's rate."""
+        return self.plan.rate
+
+    def partial_grant(self, shortfall: Shortfall) -> Grant:
+        """Keep whole units: a unit that is partly missing accrues soon, and waits here for the rest."""
+        requested = shortfall.requested_units
+        excess = shortfall.excess
+        held = max(0.0, requested - excess)
+        granted = min(requested, math.ceil(held - EPSILON))
+        fits_ahead = excess - (requested - 1) <= self.burst
+        if granted < 1 and shortfall.is_frequent and fits_ahead:
+            granted = 1.0  # leasing the next unit ahead saves a return and another request
+        accruing = max(0.0, excess - (requested - granted))
+        return Grant(granted, accruing)
+
+    def has_credit_expired(self, taken_in: int, refill_index: int) -> bool:
+        """Return whether the refill time has ended in which the credit was taken."""
+        return taken_in != refill_index
+
+    def refundable_units(self, pending: PendingRequest) -> float:
+        """Return the request's units if it was never sent."""
+        return 0.0 if pending.attempts_started else pending.request.units
+
+    def is_reclaimable(self, credits_left: float) -> bool:
+        """Return whether credits are left."""
+        return credits_left > EPSILON
+
+    def are_credits_idle(self, idle_seconds: float) -> bool:
+        """Return whether a fraction of the refill time has passed without a request."""
+        return idle_seconds > IDLE_FRACTION * self.refill_time
+
+
+class ConcurrencyQuota(Quota):
+    """A quota of slots, of which each request in progress holds one."""
+
+    __slots__ = ()
+    counts_slots = True
+    slots_per_request = 1.0
+
+    def units_of(self, _pending: PendingRequest) -> float:
+        """Return one slot."""
+        return 1.0
+
+    def accrual_rate(self, mean_latency: float) -> float:
+        """Return the slots a second that become free when all are in use."""
+        return self.limit / mean_latency
+
+    def partial_grant(self, shortfall: Shortfall) -> Grant:
+        """Keep whole slots, counted with those that the lease has."""
+        held = max(0.0, shortfall.requested_units - shortfall.excess)
+        slots = math.floor(held + shortfall.credits + EPSILON)
+        return Grant(slots - shortfall.credits)
+
+    def has_credit_expired(self, _taken_in: int, _refill_index: int) -> bool:
+        """Return False: a slot is held until its request ends."""
+        return False
+
+    def refundable_units(self, _pending: PendingRequest) -> float:
+        """Return 0: a slot goes back to the counter, not to the lease."""
+        return 0.0
+
+    def is_reclaimable(self, _credits_left: float) -> bool:
+        """Return True: the slots in use will be returned."""
+        return True
+
+    def are_credits_idle(self, _idle_seconds: float) -> bool:
+        """Return False: slots are returned when their requests end."""
+        return False
--- /dev/null
+++ b/gateway/policy/quota_factory.py
@@ -0,0 +1,43 @@
+"""The quotas of a plan; the one place that distinguishes their kinds."""
+
+import math
+
+from gateway.policy.context import stable_hash
+from gateway.policy.events import Request
+from gateway.policy.quota import ConcurrencyQuota, LeaseKey, Quota, QuotaKind, RateQuota
+from gateway.policy.settings import Plan, Settings
+
+WINDOW_SECONDS = 20.0  # window of a rate quota: near its edge, gateways see each other's leases late
+
+
+def limited_kinds(plan: Plan) -> list[QuotaKind]:
+    """Return the kinds of quota that a plan has."""
+    kinds = []
+    if plan.rate > 0:
+        kinds.append(QuotaKind.RATE)
+    if plan.max_concurrency > 0:
+        kinds.append(QuotaKind.CONCURRENCY)
+    return kinds
+
+
+def make_quota(request: Request, kind: QuotaKind, settings: Settings) -> Quota:
+    """Return the quota of that kind for a request's customer."""
+    plan = settings.plans[request.plan_index]
+    key = LeaseKey(request.customer, kind)
+    set_size = max(1, min(request.gateway_set_size, settings.gateway_count))
+    phase_fraction = stable_hash(request.customer) / 2**64
+    if kind is QuotaKind.CONCURRENCY:
+        limit = float(plan.max_concurrency)
+        length = 2 * max(request_class.deadline for request_class in settings.classes)
+        return ConcurrencyQuota(key, plan, set_size, limit, limit, length, length, phase_fraction * length)
+    limit = largest_rate_lease(plan)
+    phase = phase_fraction * WINDOW_SECONDS
+    return RateQuota(key, plan, set_size, limit, plan.burst, WINDOW_SECONDS, limit / plan.rate, phase)
+
+
+def largest_rate_lease(plan: Plan) -> float:
+    """Return a burst in whole units; under a ceiling, what fits twice, and twice more as the local quota."""
+    largest = plan.burst
+    if plan.ceiling_rate:
+        largest = min(plan.burst, plan.ceiling_burst / 4)
+    return max(1.0, math.floor(largest))
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -14,7 +14,7 @@
     Request,
     TimerFired,
 )
-from gateway.policy.lease import QuotaKind
+from gateway.policy.quota import LeaseKey, QuotaKind
 from tests.support.policy import (
     START,
     FakeCounter,
@@ -109,7 +109,7 @@
     assert bool(calls) == (waits_for == "lease")
     policy.handle(START + 0.15, ClientDisconnected(2))
     assert 2 not in policy.pending
-    assert not policy.leases.by_customer[5, QuotaKind.RATE].waiters
+    assert not policy.leases.by_customer[LeaseKey(5, QuotaKind.RATE)].waiters
     policy.counter_rate_limiter.calls.tokens = 100.0
     policy.concurrency_limiter.concurrency_limit = 10.0
     found = [action for call in calls for action in policy.handle(START + 0.2, counter.answer(call))]
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -79,7 +79,7 @@
     serve(policy, counter, START, 1)
     lease = only_lease(policy)
     lease.credits = 3.0
-    policy.context.now = START + lease.window_length
+    policy.context.now = START + lease.quota.window_length
     lease.roll_window(policy.context.now)
     assert lease.credits == 0.0
 
@@ -185,7 +185,7 @@
     one, other = make_policy(me="0"), make_policy(me="1")
     assert serve(one, counter, START, 1)
     lease = only_lease(one)
-    edge = (lease.window_index + 1) * lease.window_length - lease.phase
+    edge = (lease.window_index + 1) * lease.quota.window_length - lease.quota.phase
     lease.credits = 0.0
     assert serve(other, counter, edge - 0.01, 2)
     leased = only_lease(other).credits
@@ -208,7 +208,7 @@
     policy.endpoints.ready.clear()
     run_event(policy, counter, START, make_request(1, plan=1))
     calls, (lease,) = counter.calls, policy.leases.by_customer.values()
-    later, policy.concurrency_limiter.concurrency_limit = START + lease.window_length + 0.01, 4.0
+    later, policy.concurrency_limiter.concurrency_limit = START + lease.quota.window_length + 0.01, 4.0
     found = run_event(policy, counter, later, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(1),)))
     assert counter.calls == calls + 2
     assert not [a for a in found if isinstance(a, Fail)]
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -5,7 +5,7 @@
 import time
 
 from gateway.policy.context import stable_hash
-from gateway.policy.lease_table import WINDOW_SECONDS
+from gateway.policy.quota_factory import WINDOW_SECONDS
 from tests.support.harness import async_test
 from tests.support.sockets import FakeCounter, FakeEndpoint, HttpClient, listening, running_gateway
 
