--- a/scaletest/__main__.py
+++ b/scaletest/__main__.py
@@ -13,7 +13,7 @@
 from scaletest.scenario import ScaletestError, load
 
 RESULTS = Path("results")
-SLOPES = {"membership": membership}  # by the scenario's name
+SLOPES = {"membership": membership.SLOPE}  # by the name of their scenario
 EXIT_UNUSABLE_INPUT = 2
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help=__doc__)
@@ -37,13 +37,8 @@
         fail(str(error))
     if scenario.name not in SLOPES:
         fail(f"no slope is called {scenario.name}; there is {', '.join(SLOPES)}")
-    kind = SLOPES[scenario.name]
-    began, machine, commit = result.now(), result.current_machine(), result.current_commit()
-    points = tuple(kind.measure(size, scenario) for size in scenario.sizes)
-    run = result.Result(
-        scenario=scenario, at=began, commit=commit, machine=machine, units=kind.FIGURES, points=points
-    )
-    typer.echo(result.save(run, out))
+    measured = SLOPES[scenario.name].run(scenario)
+    typer.echo(result.save(measured, out))
 
 
 @app.command(name="report")
@@ -52,20 +47,25 @@
     results: Annotated[Path, typer.Option(help="the folder with results")] = RESULTS,
 ) -> None:
     """Write a result's table and plot beside it, and print the table."""
-    files = [file] if file else sorted(results.glob("*.json"), key=lambda path: path.stat().st_mtime)
-    if not files:
-        fail(f"no result in {results}")
-    newest = files[-1]
+    path = file or newest_result(results)
     try:
-        run = result.read(newest)
+        saved = result.read(path)
     except ScaletestError as error:
         fail(str(error))
-    text = report.table(run)
-    newest.with_suffix(".md").write_text(text, encoding="utf-8")
-    report.plot(run, newest.with_suffix(".png"))
+    text = report.table(saved)
+    path.with_suffix(".md").write_text(text, encoding="utf-8")
+    report.plot(saved, path.with_suffix(".png"))
     typer.echo(text)
 
 
+def newest_result(folder: Path) -> Path:
+    """Return the result of a folder that was written last; end the program where there is none."""
+    files = list(folder.glob("*.json"))
+    if not files:
+        fail(f"no result in {folder}")
+    return max(files, key=lambda path: path.stat().st_mtime)
+
+
 if __name__ == "__main__":
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
     app()
--- a/scaletest/hollow_gateway.py
+++ b/scaletest/hollow_gateway.py
@@ -1,43 +1,71 @@
-"""Hollow gateways: the real policy with settings and endpoint lists that are made up, many to a process."""
+"""Hollow gateways: the real policy with made-up settings and endpoint lists, many of them in one process."""
 
 from __future__ import annotations
 
 import json
 from dataclasses import replace
-
-import numpy as np
+from typing import TYPE_CHECKING
 
 from gateway.policy.engine import Policy
 from gateway.policy.events import EndpointRecord, EndpointState
 from gateway.policy.settings import DedupScope, Effect, Limits, Plan, RequestClass, Rules, Settings
-from scaletest.scenario import Scenario, Size
 
-START = 1_000_000.0  # where the emulated clock begins, in seconds
-LATENCY_SECONDS = 0.05  # in which an emulated endpoint answers
-ENDPOINT_IDS = 1 << 32  # as the endpoint list has them
+if TYPE_CHECKING:
+    import numpy as np
+
+    from scaletest.scenario import Scenario, Size
+
+CLOCK_START = 1_000_000.0  # first time on the emulated clock, in seconds
+RESPONSE_SECONDS = 0.05  # time in which an emulated endpoint answers
+ENDPOINT_ID_LIMIT = 1 << 32  # endpoint ids of the discovery protocol are below this
 
 REQUEST_CLASS = RequestClass(
-    name="read", latency_objective=0.6, deadline=1.5, effect=Effect.IDEMPOTENT, dedup_scope=DedupScope.ALL,
-    dedup_window=5.0, priority_weight=1.0, late_weight=0.0, stream=False,
-)  # fmt: skip
+    name="read",
+    latency_objective=0.6,
+    deadline=1.5,
+    effect=Effect.IDEMPOTENT,
+    dedup_scope=DedupScope.ALL,
+    dedup_window=5.0,
+    priority_weight=1.0,
+    late_weight=0.0,
+    stream=False,
+)
 PLAN_WITHOUT_QUOTAS = Plan(
-    name="free", rate=0.0, burst=0.0, max_concurrency=0, price_weight=1.0, over_quota_cost=1.0,
-    over_quota_weight=0.0, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0,
-)  # fmt: skip
+    name="free",
+    rate=0.0,
+    burst=0.0,
+    max_concurrency=0,
+    price_weight=1.0,
+    over_quota_cost=1.0,
+    over_quota_weight=0.0,
+    ceiling_rate=0.0,
+    ceiling_burst=0.0,
+    ceiling_slack=0.0,
+)
 RULES = Rules(
-    answer_slack=0.016, drain_grace=1.0, cold_capacity_fraction=0.15, slow_start_time=18.0,
-    cold_overload_multiple=3.0, cold_overload_window=1.0, poll_within=0.0,
-)  # fmt: skip
+    answer_slack=0.016,
+    drain_grace=1.0,
+    cold_capacity_fraction=0.15,
+    slow_start_time=18.0,
+    cold_overload_multiple=3.0,
+    cold_overload_window=1.0,
+    poll_within=0.0,
+)
 LIMITS = Limits(
-    max_attempts=4, may_hedge=True, may_cancel=True, may_probe=False, may_tell_retry_after=True,
-    max_retry_after=1.0, connect_timeout=0.25,
-)  # fmt: skip
+    max_attempts=4,
+    may_hedge=True,
+    may_cancel=True,
+    may_probe=False,
+    may_tell_retry_after=True,
+    max_retry_after=1.0,
+    connect_timeout=0.25,
+)
 
 
 def make_settings(size: Size, zones: int, gateway_index: int) -> Settings:
     """Return the settings of one gateway of a fleet of that size.
 
-    There are no quotas: what admission costs is not part of the slope of the endpoint list.
+    They have no quotas, because admission is not part of the slope of the endpoint list.
     """
     return Settings(
         gateway_index=gateway_index,
@@ -62,8 +90,8 @@
 
 
 def make_endpoints(size: Size, scenario: Scenario, random: np.random.Generator) -> tuple[EndpointRecord, ...]:
-    """Return a list of that many warm endpoints, with distinct ids that say nothing of order."""
-    endpoint_ids = random.choice(ENDPOINT_IDS, size=size.endpoints, replace=False)
+    """Return as many endpoints as the size has, all of them warm, with distinct ids in random order."""
+    endpoint_ids = random.choice(ENDPOINT_ID_LIMIT, size=size.endpoints, replace=False)
     return tuple(
         EndpointRecord(
             endpoint_id=int(endpoint_id),
@@ -79,27 +107,29 @@
 
 
 def make_draining(endpoints: tuple[EndpointRecord, ...], random: np.random.Generator) -> EndpointRecord:
-    """Return one of the endpoints, drawn at random, as it is listed once it drains."""
+    """Return the record of a randomly chosen endpoint once it is draining."""
     chosen = endpoints[int(random.integers(len(endpoints)))]
     return replace(chosen, state=EndpointState.DRAINING)
 
 
 def make_policy(size: Size, scenario: Scenario, gateway_index: int = 0) -> Policy:
-    """Return the policy of one gateway of the fleet."""
+    """Return a new policy for one gateway of the fleet."""
     settings = make_settings(size, scenario.zones, gateway_index)
     return Policy(settings, scenario.seed + gateway_index)
 
 
-def list_bytes(endpoints: tuple[EndpointRecord, ...]) -> int:
-    """Return the length in bytes of the whole list as discovery sends it."""
+def snapshot_bytes(endpoints: tuple[EndpointRecord, ...]) -> int:
+    """Return the length in bytes of a snapshot of the endpoints as discovery sends it."""
     hosts = [_wire_record(index, endpoint) for index, endpoint in enumerate(endpoints)]
     return len(json.dumps({"seq": 1, "whole": True, "hosts": hosts}, separators=(",", ":")))
 
 
 def _wire_record(index: int, endpoint: EndpointRecord) -> dict[str, object]:
+    """Return an endpoint's record with the keys that the discovery protocol gives its fields."""
+    address = f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}"
     return {
         "host": f"s-{endpoint.endpoint_id:08x}",
-        "dial": f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8000",
+        "dial": f"{address}:8000",
         "site": f"zone-{endpoint.zone}",
         "class": "m2",
         "block": endpoint.cell,
--- a/scaletest/report.py
+++ b/scaletest/report.py
@@ -1,46 +1,69 @@
-"""Reports: a table and a plot out of a result."""
+"""Reports: a table and a plot of a result."""
 
 from __future__ import annotations
 
-from pathlib import Path
+import math
+from typing import TYPE_CHECKING
 
 import matplotlib
 from matplotlib import pyplot
-from matplotlib.axes import Axes
 
 from scaletest.result import Result, fit
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from matplotlib.axes import Axes
+
 matplotlib.use("Agg")  # draws into files: no display is needed
 PLOT_SIZE_INCHES = (12, 7)
 PLOT_DPI = 90
+PLOT_ROWS = 2
+UNIT_FONT_SIZE = 7  # points
+FIT_COLUMNS = ("slope an endpoint", "residual", "exponent")
 
 
 def table(result: Result) -> str:
-    """Return a result as Markdown, one row a figure: its value at each size, slope, residual, exponent."""
+    """Return a result as Markdown, with one row for each figure: its value at each size and its fit."""
     sizes = [f"{point.endpoints:,} / {point.gateways}" for point in result.points]
+    columns = ["figure", *sizes, *FIT_COLUMNS]
     lines = [
-        f"Slope `{result.scenario.name}`: commit {result.commit}, seed {result.scenario.seed}, "
-        f"{result.scenario.repeats} repeats, {result.machine.cores} cores, load {result.machine.load:.1f}, "
-        f"Python {result.machine.python}, {result.at:%Y-%m-%d %H:%M} UTC. Sizes are endpoints / gateways.",
+        _description(result),
         "",
-        "| figure | " + " | ".join(sizes) + " | slope an endpoint | residual | exponent |",
-        "| --- |" + " --- |" * (len(sizes) + 3),
+        "| " + " | ".join(columns) + " |",
+        "|" + " --- |" * len(columns),
     ]
     lines.extend(_table_row(result, figure) for figure in result.units)
     return "\n".join(lines) + "\n"
 
 
+def _description(result: Result) -> str:
+    """Return the line above the table, which says what was run, when and where."""
+    return (
+        f"Slope `{result.scenario.name}`: commit {result.commit}, seed {result.scenario.seed}, "
+        f"{result.scenario.repeats} repeats, {result.machine.cores} cores, load {result.machine.load:.1f}, "
+        f"Python {result.machine.python}, {result.at:%Y-%m-%d %H:%M} UTC. Sizes are endpoints / gateways."
+    )
+
+
 def _table_row(result: Result, figure: str) -> str:
     line = fit(result.points, figure)
-    cells = [f"{point.figures[figure]:.4g}" for point in result.points]
-    cells += [f"{line.slope:.3g}", f"{line.residual:.0%}", f"{line.exponent:.2f}"]
-    return f"| {figure}: {result.units[figure]} | " + " | ".join(cells) + " |"
+    values = [f"{point.figures[figure]:.4g}" for point in result.points]
+    cells = [
+        f"{figure}: {result.units[figure]}",
+        *values,
+        f"{line.slope:.3g}",
+        f"{line.residual:.0%}",
+        f"{line.exponent:.2f}",
+    ]
+    return "| " + " | ".join(cells) + " |"
 
 
 def plot(result: Result, path: Path) -> None:
-    """Write a PNG with one diagram a figure, over the endpoints, with the line through it."""
+    """Write a PNG file with one diagram for each figure: its values by endpoints, and the fitted line."""
     figures = list(result.units)
-    drawing, axes = pyplot.subplots(2, (len(figures) + 1) // 2, figsize=PLOT_SIZE_INCHES, squeeze=False)
+    columns = math.ceil(len(figures) / PLOT_ROWS)
+    drawing, axes = pyplot.subplots(PLOT_ROWS, columns, figsize=PLOT_SIZE_INCHES, squeeze=False)
     for axis in axes.flat[len(figures) :]:
         axis.set_visible(False)
     for axis, figure in zip(axes.flat, figures, strict=False):
@@ -58,5 +81,5 @@
     axis.plot(endpoints, [line.slope * count + line.intercept for count in endpoints], "--")
     axis.set_title(figure)
     axis.set_xlabel("endpoints")
-    axis.set_ylabel(result.units[figure], fontsize=7)
+    axis.set_ylabel(result.units[figure], fontsize=UNIT_FONT_SIZE)
     axis.set_ylim(bottom=0)
--- a/scaletest/result.py
+++ b/scaletest/result.py
@@ -1,4 +1,4 @@
-"""Results: JSON files with all that a figure rests on, and the fits through them."""
+"""Results: JSON files with the figures of a run and what they depend on, and fits through the figures."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 from scaletest.scenario import ScaletestError, Scenario, StrictModel
 
-TINY = 1e-12  # in place of a figure of 0, which has no logarithm and cannot divide
+MIN_FIGURE = 1e-12  # replaces a figure of 0, which has no logarithm and cannot be a divisor
 
 
 class ResultError(ScaletestError):
-    """A file that holds no result; the text names it and what is wrong there."""
+    """Raised for a file that holds no result; the text names the file and what is wrong in it."""
 
 
 class Point(StrictModel):
-    """What was measured at one size, by figure.  Older files say `servers` and `doors`."""
+    """The figures measured at one size, by name.  Older files call the sizes `servers` and `doors`."""
 
     endpoints: Annotated[int, Field(validation_alias=AliasChoices("endpoints", "servers"))]
     gateways: Annotated[int, Field(validation_alias=AliasChoices("gateways", "doors"))]
@@ -36,26 +36,26 @@
     cores: int
     memory_mb: int
     python: str
-    load: float  # average of the last minute when the run began: other work makes times longer
+    load: float  # average of the last minute before the run; other work makes the measured times longer
 
 
 class Result(StrictModel):
-    """One run of a slope."""
+    """The result of one run of a slope."""
 
     scenario: Scenario
-    at: datetime  # when it began
-    commit: str  # with "+" behind it where files were changed since
+    at: datetime  # time at which the run began
+    commit: str  # followed by "+" where tracked files had changed since
     machine: Machine
-    units: dict[str, str]  # by figure
+    units: dict[str, str]  # by the name of the figure
     points: tuple[Point, ...]
 
 
 class Fit(BaseModel):
-    """A line through a figure over the endpoints, and how the figure grows: ~ endpoints ** exponent."""
+    """A line fitted to a figure by endpoints, and the power of the endpoints with which it grows."""
 
-    slope: float  # of the figure's unit, an endpoint
+    slope: float  # figure's unit for each endpoint
     intercept: float
-    residual: float  # root of the mean square, as a fraction of the figure's mean
+    residual: float  # root mean square of the errors, as a fraction of the figure's mean
     exponent: float
 
 
@@ -70,9 +70,9 @@
 
 
 def current_commit(here: Path = Path(__file__).parent) -> str:
-    """Return the commit that is run, or "unknown" outside a repository.
+    """Return the commit of the running code, or "unknown" outside a repository.
 
-    Untracked files do not count as changes: the runs themselves leave some.
+    Untracked files do not count as changes, because runs leave their results there.
     """
 
     def git(*words: str) -> str:
@@ -87,18 +87,19 @@
 
 
 def fit(points: tuple[Point, ...], figure: str) -> Fit:
-    """Fit a line through a figure by least squares over the sizes."""
+    """Fit a line to a figure over all sizes by least squares."""
     endpoints = np.array([point.endpoints for point in points], dtype=float)
     values = np.array([point.figures[figure] for point in points])
     slope, intercept = np.polyfit(endpoints, values, 1)
     errors = values - (slope * endpoints + intercept)
-    exponent, _ = np.polyfit(np.log(endpoints), np.log(np.maximum(values, TINY)), 1)
-    residual = float(np.sqrt(np.mean(errors**2)) / max(abs(float(values.mean())), TINY))
+    exponent, _ = np.polyfit(np.log(endpoints), np.log(np.maximum(values, MIN_FIGURE)), 1)
+    mean = max(abs(float(values.mean())), MIN_FIGURE)
+    residual = float(np.sqrt(np.mean(errors**2)) / mean)
     return Fit(slope=float(slope), intercept=float(intercept), residual=residual, exponent=float(exponent))
 
 
 def save(result: Result, folder: Path) -> Path:
-    """Write a result into a folder, which is made if need be, and return its path."""
+    """Write a result to a new file of a folder, which is created if needed, and return the file's path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{result.scenario.name}-{result.at:%Y%m%dT%H%M%S}.json"
     path.write_text(result.model_dump_json(indent=1) + "\n", encoding="utf-8")
@@ -106,10 +107,10 @@
 
 
 def read(path: Path) -> Result:
-    """Read a result as it was saved.
+    """Read a saved result, also one of an earlier version.
 
     Raises:
-        ResultError: the file cannot be read, or holds no result.
+        ResultError: The file cannot be read or holds no result.
     """
     try:
         return Result.model_validate_json(path.read_text(encoding="utf-8"))
@@ -118,5 +119,5 @@
 
 
 def now() -> datetime:
-    """Return the present time, in UTC."""
+    """Return the current time in UTC."""
     return datetime.now(UTC)
--- a/scaletest/scenario.py
+++ b/scaletest/scenario.py
@@ -9,27 +9,27 @@
 from pydantic import AliasChoices, BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 SCENARIOS = Path(__file__).parent / "scenarios"  # those that come with the tool, by name
-MIN_SIZES = 4  # of a slope: fewer do not tell a line from a curve
-MAX_ENDPOINTS = 50_000  # beyond the size to design for, and within one machine's memory
-MAX_GATEWAYS = 5_000  # likewise
+MIN_SIZES = 4  # a slope of fewer sizes does not distinguish a line from a curve
+MAX_ENDPOINTS = 50_000  # above the planned size, and within the memory of one machine
+MAX_GATEWAYS = 5_000  # above the planned size
 
 
 class ScaletestError(ValueError):
-    """Base of what this package raises; the text is one plain line."""
+    """Base of the errors that this package raises; the text is one plain line."""
 
 
 class ScenarioError(ScaletestError):
-    """A scenario that cannot be run; the text names its file and what is wrong there."""
+    """Raised for a scenario that cannot be run; the text names its file and what is wrong in it."""
 
 
 class StrictModel(BaseModel):
-    """A frozen record whose file form has no keys but its own."""
+    """A frozen record that rejects unknown keys in its file."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Size(StrictModel):
-    """A fleet: its endpoints, and the gateways that share them.  Older files say `servers` and `doors`."""
+    """The size of a fleet in endpoints and gateways.  Older files call them `servers` and `doors`."""
 
     endpoints: Annotated[
         int, Field(ge=1, le=MAX_ENDPOINTS, validation_alias=AliasChoices("endpoints", "servers"))
@@ -38,18 +38,18 @@
 
 
 class Scenario(StrictModel):
-    """A slope: one figure after another, measured at each size."""
+    """The sizes at which the figures of a slope are measured, and how."""
 
     name: str
     seed: Annotated[int, Field(ge=0)]
-    repeats: Annotated[int, Field(ge=1, le=10_000)]  # of each measurement at each size; the median counts
-    services: Annotated[int, Field(ge=1)]  # the endpoints are dealt out over them, as cells of the list
+    repeats: Annotated[int, Field(ge=1, le=10_000)]  # of a measurement, whose median is the figure
+    services: Annotated[int, Field(ge=1)]  # cells of the endpoint list that the endpoints are spread over
     zones: Annotated[int, Field(ge=1, le=100)]
     sizes: Annotated[tuple[Size, ...], Field(min_length=MIN_SIZES)]
 
     @model_validator(mode="after")
     def check_that_sizes_grow(self) -> Scenario:
-        """Refuse sizes whose numbers of endpoints do not grow from one to the next."""
+        """Reject sizes that do not grow in endpoints from each size to the next."""
         endpoints = [size.endpoints for size in self.sizes]
         if endpoints != sorted(set(endpoints)):
             raise ValueError("sizes have to grow in endpoints")
@@ -57,10 +57,10 @@
 
 
 def load(name: str) -> Scenario:
-    """Return the scenario of that name, or the one in that `.toml` file.
+    """Return the scenario that comes with the tool under a name, or the one in a `.toml` file.
 
     Raises:
-        ScenarioError: there is none, or it cannot be run.
+        ScenarioError: The scenario does not exist or cannot be run.
     """
     path = Path(name) if name.endswith(".toml") else SCENARIOS / f"{name}.toml"
     try:
--- /dev/null
+++ b/scaletest/slope.py
@@ -0,0 +1,42 @@
+"""Slopes: figures that are measured at each size of a scenario."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from scaletest import result
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from scaletest.result import Point, Result
+    from scaletest.scenario import Scenario, Size
+
+
+@dataclass(frozen=True, slots=True)
+class Slope:
+    """What a slope measures.
+
+    Attributes:
+        units: The unit of each figure, by the figure's name.
+        measure: Measures all figures at one size of a scenario.
+    """
+
+    units: Mapping[str, str]
+    measure: Callable[[Size, Scenario], Point]
+
+    def run(self, scenario: Scenario) -> Result:
+        """Measure all sizes of a scenario, one after another."""
+        began_at = result.now()
+        machine = result.current_machine()
+        commit = result.current_commit()
+        points = tuple(self.measure(size, scenario) for size in scenario.sizes)
+        return result.Result(
+            scenario=scenario,
+            at=began_at,
+            commit=commit,
+            machine=machine,
+            units=dict(self.units),
+            points=points,
+        )
--- a/tests/scaletest/test_hollow_gateway.py
+++ b/tests/scaletest/test_hollow_gateway.py
@@ -2,37 +2,54 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import numpy as np
+import pytest
 
 from gateway.policy.events import EndpointRecord, EndpointUpdate, UpdateKind
 from scaletest import hollow_gateway, membership
-from scaletest.scenario import Size, load
+from scaletest.scenario import Scenario, Size, load
 from tests.support.scenarios import write_scenario
 
+if TYPE_CHECKING:
+    from pathlib import Path
 
-def test_lists_are_drawn_from_the_seed_and_their_ids_are_distinct(tmp_path: Path) -> None:
-    made = load(write_scenario(tmp_path / "it.toml"))
-    size = Size(endpoints=2000, gateways=5)
+ENDPOINTS = 2000
+REQUESTS = 50
 
-    def drawn(seed: int) -> tuple[EndpointRecord, ...]:
-        return hollow_gateway.make_endpoints(size, made, np.random.default_rng(seed))
 
-    assert drawn(1) == drawn(1) != drawn(2)
-    assert len({entry.endpoint_id for entry in drawn(1)}) == 2000
-    assert {entry.zone for entry in drawn(1)} == {0, 1}
-    assert {entry.cell for entry in drawn(1)} == {0, 1, 2}
+@pytest.fixture
+def scenario(tmp_path: Path) -> Scenario:
+    return load(write_scenario(tmp_path / "it.toml"))
 
 
-def test_a_hollow_gateway_serves_its_requests(tmp_path: Path) -> None:
-    made = load(write_scenario(tmp_path / "it.toml"))
-    size = made.sizes[0]
-    entries = hollow_gateway.make_endpoints(size, made, np.random.default_rng(1))
-    policy = hollow_gateway.make_policy(size, made)
-    policy.handle(hollow_gateway.START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    for number in range(50):
-        membership.serve_request(policy, number, hollow_gateway.START + 1 + number)
+def make_endpoints(scenario: Scenario, seed: int) -> tuple[EndpointRecord, ...]:
+    size = Size(endpoints=ENDPOINTS, gateways=5)
+    return hollow_gateway.make_endpoints(size, scenario, np.random.default_rng(seed))
+
+
+def test_lists_are_drawn_from_the_seed(scenario: Scenario) -> None:
+    endpoints = make_endpoints(scenario, seed=1)
+    assert endpoints == make_endpoints(scenario, seed=1)
+    assert endpoints != make_endpoints(scenario, seed=2)
+
+
+def test_endpoints_have_distinct_ids_and_are_spread_over_zones_and_services(scenario: Scenario) -> None:
+    endpoints = make_endpoints(scenario, seed=1)
+    assert len({endpoint.endpoint_id for endpoint in endpoints}) == ENDPOINTS
+    assert {endpoint.zone for endpoint in endpoints} == set(range(scenario.zones))
+    assert {endpoint.cell for endpoint in endpoints} == set(range(scenario.services))
+
+
+def test_a_hollow_gateway_serves_its_requests(scenario: Scenario) -> None:
+    size = scenario.sizes[0]
+    endpoints = hollow_gateway.make_endpoints(size, scenario, np.random.default_rng(1))
+    policy = hollow_gateway.make_policy(size, scenario)
+    policy.handle(hollow_gateway.CLOCK_START, EndpointUpdate(UpdateKind.SNAPSHOT, 1, endpoints))
+    used: set[int] = set()
+    for number in range(REQUESTS):
+        used.update(membership.serve_request(policy, number, hollow_gateway.CLOCK_START + 1 + number))
     assert not policy.pending
-    endpoints = policy.endpoints.by_id.values()
-    assert sum(endpoint.last_response_at > hollow_gateway.START for endpoint in endpoints) > 5
+    assert used <= {endpoint.endpoint_id for endpoint in endpoints}
+    assert len(used) > 5
--- a/tests/scaletest/test_scenario.py
+++ b/tests/scaletest/test_scenario.py
@@ -2,15 +2,18 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 from typer.testing import CliRunner
 
-from scaletest.__main__ import app
+from scaletest.__main__ import EXIT_UNUSABLE_INPUT, app
 from scaletest.scenario import MAX_ENDPOINTS, SCENARIOS, ScenarioError, load
 from tests.support.scenarios import write_scenario
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 @pytest.mark.parametrize("name", sorted(path.stem for path in SCENARIOS.glob("*.toml")))
 def test_the_scenarios_that_come_with_the_tool_can_be_run(name: str) -> None:
@@ -20,15 +23,23 @@
 @pytest.mark.parametrize(
     ("old", "new", "says"),
     [
-        ("seed = 7", "", "seed: Field required"),
-        ("seed = 7", "seed = -7", "seed: Input should be greater"),
-        ("seed = 7", "seed = 7\nspeed = 1", "speed: Extra inputs"),
-        ("{ endpoints = 160, gateways = 5 },", "", "sizes: Tuple should have at least 4"),
-        ("endpoints = 160", "endpoints = 80", "sizes have to grow in endpoints"),
-        ("endpoints = 160", f"endpoints = {MAX_ENDPOINTS + 1}", "sizes.3.endpoints: Input should be less"),
-        ("seed = 7", "seed =", "Invalid value"),
+        pytest.param("seed = 7", "", "seed: Field required", id="no seed"),
+        pytest.param("seed = 7", "seed = -7", "seed: Input should be greater", id="negative seed"),
+        pytest.param("seed = 7", "seed = 7\nspeed = 1", "speed: Extra inputs", id="unknown key"),
+        pytest.param(
+            "{ endpoints = 160, gateways = 5 },", "", "sizes: Tuple should have at least 4", id="three sizes"
+        ),
+        pytest.param(
+            "endpoints = 160", "endpoints = 80", "sizes have to grow in endpoints", id="size that is repeated"
+        ),
+        pytest.param(
+            "endpoints = 160",
+            f"endpoints = {MAX_ENDPOINTS + 1}",
+            "sizes.3.endpoints: Input should be less",
+            id="too many endpoints",
+        ),
+        pytest.param("seed = 7", "seed =", "Invalid value", id="no TOML"),
     ],
-    ids=range(7),
 )
 def test_a_scenario_that_cannot_be_run_ends_with_one_line(
     old: str, new: str, says: str, tmp_path: Path
@@ -36,15 +47,19 @@
     name = write_scenario(tmp_path / "it.toml", old, new)
     with pytest.raises(ScenarioError, match=says):
         load(name)
-    run = CliRunner().invoke(app, ["slope", name, "--out", str(tmp_path / "results")])
-    assert run.exit_code == 2
+    results = tmp_path / "results"
+    run = CliRunner().invoke(app, ["slope", name, "--out", str(results)])
+    assert run.exit_code == EXIT_UNUSABLE_INPUT
     assert len(run.stderr.splitlines()) == 1
     assert says in run.stderr
-    assert not (tmp_path / "results").exists()
+    assert not results.exists()
 
 
-@pytest.mark.parametrize("name", ["nothing", "/nowhere/it.toml"])
+@pytest.mark.parametrize(
+    "name",
+    [pytest.param("nothing", id="name"), pytest.param("/nowhere/it.toml", id="file")],
+)
 def test_a_scenario_that_is_not_there_ends_with_one_line(name: str) -> None:
     run = CliRunner().invoke(app, ["slope", name])
-    assert run.exit_code == 2
+    assert run.exit_code == EXIT_UNUSABLE_INPUT
     assert len(run.stderr.splitlines()) == 1
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,9 +1,14 @@
-"""A small scenario of the scale experiments, to be varied by tests."""
+"""A small scenario of the scale experiments, which tests vary."""
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+SMALL_SCENARIO_SEED = 7
+SMALL_SCENARIO_ENDPOINTS = [20, 40, 80, 160]
 SMALL_SCENARIO = """
 name = "membership"
 seed = 7
@@ -18,7 +23,7 @@
 
 
 def write_scenario(path: Path, old: str = "", new: str = "") -> str:
-    """Write the scenario with one text replaced by another, and return its path."""
+    """Write the small scenario to a file, with one text replaced by another, and return the file's path."""
     assert old in SMALL_SCENARIO
     path.write_text(SMALL_SCENARIO.replace(old, new))
     return str(path)
