--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -33,20 +33,14 @@
 
 # What still breaks a guard, by module.  Entries may only shrink or go; a module without one keeps the rule.
 METHODS_LEFT = {  # of its largest class
-    "gateway.counter.connection": 23,
-    "gateway.frontend.client_connection": 24,
-    "gateway.frontend.listener": 21,
+    "gateway.counter.connection": 21,
     "gateway.policy.admission": 23,
-    "gateway.policy_driver": 25,
 }
 FIELDS_LEFT = {  # of its largest class
-    "gateway.frontend.listener": 19,
     "gateway.policy.engine": 16,
     "gateway.policy.lease": 36,
 }
 CIRCLES_LEFT = {
-    "gateway.frontend.client_connection",
-    "gateway.frontend.listener",
     "gateway.policy.endpoints",
     "gateway.policy.slow_start",
 }
