--- a/gateway/address.py
+++ b/gateway/address.py
@@ -8,7 +8,7 @@
 
 
 class AddressError(ValueError):
-    """A text that is not an address; ``value`` is that text."""
+    """A value is not an address; `value` is that value."""
 
     def __init__(self, value: object) -> None:
         super().__init__(f"not an address of the form HOST:PORT: {value!r}")
@@ -27,12 +27,13 @@
 
 
 def parse_address(text: object) -> Address:
-    """The address that ``text`` gives as HOST:PORT.
+    """Return the address that a text gives as HOST:PORT.
 
     Raises:
-        AddressError: The text has no host, or no port from 0 to ``MAX_PORT``.
+        AddressError: The text has no host, or no port from 0 to `MAX_PORT`.
     """
-    host, separator, port = str(text).rpartition(":")
-    if not (separator and host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
+    host, _, port = str(text).rpartition(":")
+    is_number = port.isascii() and port.isdigit()
+    if not host or not is_number or int(port) > MAX_PORT:
         raise AddressError(text)
     return Address(host, int(port))
--- a/gateway/upstream/__init__.py
+++ b/gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: attempts on endpoints, their connections and the pools that keep these."""
+"""The client side: attempts on endpoints, their connections, and a pool of connections to each endpoint."""
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: socket events in, attempts carried."""
+"""One connection to an endpoint, which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -27,14 +27,26 @@
         """The loop on which the callbacks of attempts run."""
 
     def put_back(self, connection: UpstreamConnection) -> None:
-        """Take a connection back that can carry another attempt."""
+        """Take back a connection that can carry another attempt."""
 
     def discard(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has ended."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an endpoint; it carries one attempt at a time."""
+    """One connection to an endpoint; it carries one attempt at a time.
+
+    The event loop calls the methods of `asyncio.Protocol`; the pool calls the others.
+
+    Attributes:
+        pool: The pool that the connection belongs to.
+        transport: None until the connection is open.
+        attempt: The attempt that is carried; None while the connection is idle.
+        idle_since: When the pool took the connection back, in monotonic seconds.
+        has_unsent_bytes: Whether part of the request is still in this process.
+        parser: Parses the responses.
+        readable: Polls the socket for bytes that the event loop has not read yet.
+    """
 
     __slots__ = ("attempt", "has_unsent_bytes", "idle_since", "parser", "pool", "readable", "transport")
 
@@ -42,28 +54,28 @@
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
-        self.idle_since = 0.0  # monotonic seconds
-        self.has_unsent_bytes = False  # whether part of the request still waits in this process
+        self.idle_since = 0.0
+        self.has_unsent_bytes = False
         self.parser = ResponseParser()
         self.readable = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have bytes reported that the socket does not take, and prepare to poll for unread ones."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        """Have unsent bytes reported, and prepare to poll for unread ones."""
+        transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
         transport.set_write_buffer_limits(high=0)  # report at once bytes that could not be written
         self.transport = transport
         self.readable.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is up and not being closed."""
+        """Whether the connection is open and is not being closed."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Whether an idle connection can carry an attempt.
+        """Return whether an idle connection can carry an attempt.
 
-        What can be read before the attempt is written does not belong to its response: it is a second copy of
-        the last response, noise, or the end of the connection.
+        Bytes that can be read before the attempt is written do not belong to its response: they are a second
+        copy of the last response, noise, or the end of the connection.
         """
         return self.is_open and not self.readable.poll(0)
 
@@ -74,11 +86,11 @@
         self.transport.write(attempt.bind(self))
 
     def pause_writing(self) -> None:
-        """The socket has not taken the whole request."""
+        """Note that part of the request is not sent yet."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """The socket has taken the rest of the request."""
+        """Note that the whole request is sent."""
         self.has_unsent_bytes = False
 
     def data_received(self, data: bytes) -> None:
@@ -95,21 +107,23 @@
             self.abort()  # the attempt finishes with its connection
             return
         if self.parser.is_complete and self.is_open:
-            # Only once all that was read is parsed: finishing may start the next attempt on this connection,
-            # which must not get what stood behind this response.
+            # Only once all bytes that were read are parsed: completing may start the next attempt on this
+            # connection, which must not get the bytes behind this response.
             self.complete()
 
     def eof_received(self) -> None:
-        """Complete a response without framing.  A reset does not end one, and is not reported here."""
-        if self.attempt is not None and self.attempt.abandoned_as is None:
-            self.parser.feed_eof()
-            if self.parser.is_complete and self.is_open:
-                self.complete()
+        """Complete a response without framing; a reset does not complete one, and is not reported here."""
+        if self.attempt is None or self.attempt.abandoned_as is not None:
+            return
+        self.parser.feed_eof()
+        if self.parser.is_complete and self.is_open:
+            self.complete()
 
     def complete(self) -> None:
-        """Hand the response over, after the connection has become idle or is being closed."""
-        attempt, parser = self.attempt, self.parser
+        """Return the connection to its pool, or close it, and then hand the response over."""
+        attempt = self.attempt
         assert attempt is not None
+        parser = self.parser
         result = AttemptResult(
             parser.outcome,
             attempt.elapsed,
@@ -127,14 +141,15 @@
         attempt.finish(result)
 
     def abort(self) -> None:
-        """End the connection at once, whatever was not sent."""
+        """Close the connection at once, whatever is not sent yet."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Leave the pool and finish the attempt that was carried."""
+        """Leave the pool, and finish the attempt that was carried."""
         self.pool.discard(self)
-        if (attempt := self.attempt) is not None:
+        attempt = self.attempt
+        if attempt is not None:
             self.attempt = None
             # The descriptor is closed only after this call returns; a retry must come later.
             self.pool.loop.call_soon(attempt.fail, attempt.outcome_of_lost_connection())
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -14,7 +14,7 @@
 from gateway.upstream.connection import UpstreamConnection
 from gateway.upstream.load_report import LoadReportParser
 
-REUSE_DELAY_SECONDS = 0.010  # a second copy of a response may come some milliseconds late
+REUSE_DELAY_SECONDS = 0.010  # after a response, as a second copy of it may come some milliseconds later
 
 
 class PoolOwner(Protocol):
@@ -25,25 +25,40 @@
     load_report_parser: LoadReportParser
 
     def reserve_connection(self, open_in_pool: int) -> bool:
-        """Count one more connection, if there is room for it."""
+        """Count one more connection if the limits allow it; return whether they do."""
 
     def release_connection(self) -> None:
-        """Count one connection less."""
+        """Count one connection fewer."""
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine that is cancelled when the client is closed."""
 
 
 class EndpointPool:
-    """The connections to one endpoint, and the attempts that wait for one."""
+    """The connections to one endpoint, and the attempts that wait for one.
+
+    Attributes:
+        owner: The client that all pools share.
+        endpoint_id: The endpoint's id.
+        address: Where the endpoint listens.
+        started_at: When the endpoint was last started.
+        load_report_parser: Parses the load reports of the endpoint.
+        idle: Connections that carry no attempt, oldest first; the newest is used first.
+        connections: All open connections.
+        waiting: Attempts that wait for a connection.
+        connecting: Number of connections that are being opened.
+        is_removed: Whether the endpoint has moved or is gone, so that no connection is kept.
+    """
 
     def __init__(self, owner: PoolOwner, endpoint_id: int, address: Address, started_at: float) -> None:
         self.owner = owner
-        self.endpoint_id, self.address, self.started_at = endpoint_id, address, started_at
+        self.endpoint_id = endpoint_id
+        self.address = address
+        self.started_at = started_at
         self.load_report_parser = owner.load_report_parser
-        self.idle: deque[UpstreamConnection] = deque()  # the newest last; it is used first
+        self.idle: deque[UpstreamConnection] = deque()
         self.connections: set[UpstreamConnection] = set()
-        self.waiting: set[Attempt] = set()  # for a connection
+        self.waiting: set[Attempt] = set()
         self.connecting = 0
         self.is_removed = False
 
@@ -53,21 +68,28 @@
         return self.owner.loop
 
     def start(self, attempt: Attempt) -> None:
-        """Carry an attempt on an idle connection, else on a new one."""
+        """Carry an attempt on an idle connection if one is usable, else on a new one."""
         while self.idle:
             connection = self.take_idle()
-            if not connection.is_usable():
-                connection.abort()
-                continue
-            delay = connection.idle_since + REUSE_DELAY_SECONDS - time.monotonic()
-            if delay <= 0:
-                connection.carry(attempt)
-            else:
-                self.waiting.add(attempt)
-                self.loop.call_later(delay, self.reuse, connection, attempt)
-            return
+            if connection.is_usable():
+                self.carry_after_reuse_delay(connection, attempt)
+                return
+            connection.abort()
+        self.carry_on_new_connection(attempt)
+
+    def carry_after_reuse_delay(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Carry an attempt on a connection once that has been idle for the reuse delay."""
+        delay = connection.idle_since + REUSE_DELAY_SECONDS - time.monotonic()
+        if delay <= 0:
+            connection.carry(attempt)
+        else:
+            self.waiting.add(attempt)
+            self.loop.call_later(delay, self.reuse, connection, attempt)
+
+    def carry_on_new_connection(self, attempt: Attempt) -> None:
+        """Start to open a connection for an attempt; without capacity for one, fail the attempt."""
         if not self.owner.reserve_connection(self.connecting + len(self.connections)):
-            # Nothing was sent.  Not a failed connection: the endpoint is not to blame.
+            # Nothing was sent.  It is no failed connection either, as the endpoint is not to blame.
             self.loop.call_soon(attempt.fail, Outcome.OVERLOADED)
             return
         self.connecting += 1
@@ -75,16 +97,16 @@
         self.owner.run_in_background(self.connect(attempt))
 
     def take_idle(self) -> UpstreamConnection:
-        """Take the newest connection whose reuse delay is over, else the one that has been idle longest."""
+        """Take the newest connection whose reuse delay has passed, else the one that is idle longest."""
         latest = time.monotonic() - REUSE_DELAY_SECONDS
         newest_first = reversed(range(len(self.idle)))
-        index = next((n for n in newest_first if self.idle[n].idle_since <= latest), 0)
+        index = next((index for index in newest_first if self.idle[index].idle_since <= latest), 0)
         connection = self.idle[index]
         del self.idle[index]
         return connection
 
     def reuse(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """Carry an attempt that has waited for the reuse delay, unless it was given up meanwhile."""
+        """Carry an attempt that has waited for the reuse delay, unless it was abandoned in the meantime."""
         is_wanted = self.stop_waiting(attempt)
         if not connection.is_usable():
             connection.abort()
@@ -96,7 +118,7 @@
             self.put_back(connection)
 
     async def connect(self, attempt: Attempt) -> None:
-        """Open a connection for an attempt, and keep it if that was given up meanwhile."""
+        """Open a connection for an attempt, and keep it if the attempt was abandoned in the meantime."""
         try:
             async with asyncio.timeout(self.owner.connect_timeout):
                 _, connection = await self.loop.create_connection(
@@ -129,9 +151,10 @@
     def cancel_waiting(self) -> None:
         """Fail the attempts that wait for a connection, as nothing new is to go to this endpoint.
 
-        They never ran.  They finish after this call, once the policy knows why.
+        They never ran.  They finish only after this call returns, once the policy knows why.
         """
-        waiting, self.waiting = self.waiting, set()
+        waiting = self.waiting
+        self.waiting = set()
         for attempt in waiting:
             self.loop.call_soon(attempt.fail, Outcome.NOT_STARTED)
 
@@ -152,14 +175,15 @@
             self.idle.remove(connection)
 
     def remove(self) -> None:
-        """Take no further attempts; those that were written run on."""
+        """Keep no connection from now on; the attempts that were written run on."""
         self.is_removed = True
         self.close_idle()
         self.cancel_waiting()
 
     def close_idle(self) -> None:
         """Close all idle connections."""
-        idle, self.idle = self.idle, deque()
+        idle = self.idle
+        self.idle = deque()
         for connection in idle:
             connection.abort()
 
@@ -168,7 +192,7 @@
         self.idle.popleft().abort()
 
     def close_idle_before(self, time_limit: float) -> None:
-        """Close the connections that have been idle since before a monotonic time."""
+        """Close the connections that have been idle since before a time limit, in monotonic seconds."""
         while self.idle and self.idle[0].idle_since < time_limit:
             self.close_oldest_idle()
 
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""What the bytes of an endpoint's responses mean: framing, size limits and the headers that count; no I/O."""
+"""Parses the responses of endpoints: framing, size limits, and the headers that are used; does no I/O."""
 
 from __future__ import annotations
 
@@ -10,22 +10,49 @@
 MAX_BODY_BYTES = 64 * 1024  # by the protocol
 MAX_HEADER_BYTES = 16 * 1024  # including those of interim responses
 MAX_RESPONSE_BYTES = 8 * MAX_BODY_BYTES  # as sent: a chunked body may come in chunks of one byte
-FIRST_FINAL_STATUS = 200  # lower ones are interim responses, which a final one follows
+FIRST_FINAL_STATUS = 200  # lower ones are those of interim responses, which a final one follows
+OK_STATUS = 200
+NOT_STARTED_STATUSES = (503, 504)  # of responses that may say Not-Started
+
+# Names of the headers that are used, in lower case, each as the attribute of the parser that it becomes.
+LOAD_REPORT = b"server-load"
+NOT_STARTED = b"not-started"
+NOT_STARTED_TRUE = b"1"  # the value if the request has not run
+CONTENT_TYPE = b"content-type"
+CONTENT_LENGTH = b"content-length"
+TRANSFER_ENCODING = b"transfer-encoding"
 
 
 class ResponseParser:
     """Parses the responses on one connection, one at a time.
 
-    Once `is_complete` is true, `outcome`, `body`, `content_type` and `load_report` tell what the final
-    response says, and `is_reusable` whether the connection can carry another request; `reset` prepares
-    the parser for the next response.  The HTTP parser calls the methods named `on_...`.
+    `reset` prepares the parser for the next response.  The HTTP parser calls the methods named `on_...`.
+
+    Attributes:
+        is_complete: Whether the final response is complete; the attributes below hold from then on.
+        is_reusable: Whether the connection can carry another request.
+        outcome: What the response means to the policy.
+        body: The body of the response.
+        content_type: The value of Content-Type; empty without one.
+        load_report: The value of Server-Load; empty without one.
     """
 
     __slots__ = (
-        "body", "body_bytes", "body_parts", "bytes_read", "content_length", "content_type", "has_framing",
-        "headers_complete", "is_complete", "is_reusable", "load_report", "not_started", "outcome",
+        "body",
+        "body_bytes",
+        "body_parts",
+        "bytes_read",
+        "content_length",
+        "content_type",
+        "has_framing",
+        "headers_complete",
+        "is_complete",
+        "is_reusable",
+        "load_report",
+        "not_started",
+        "outcome",
         "parser",
-    )  # fmt: skip
+    )
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -34,7 +61,7 @@
 
     def reset(self) -> None:
         """Forget the last response."""
-        self.bytes_read = 0  # since the last final response, thus including interim ones
+        self.bytes_read = 0  # since the last final response, including interim responses
         self.is_complete = False
         self.is_reusable = False
         self.body = b""
@@ -47,17 +74,17 @@
         self.body_bytes = 0
         self.content_length = 0
         self.not_started = False
-        self.has_framing = False  # whether its end can be told from the end of the connection
+        self.has_framing = False  # whether it ends by itself, not only with the connection
         self.load_report = b""
         self.content_type = b""
 
     def feed(self, data: bytes) -> None:
-        """Parse what was read.
+        """Parse the bytes that were read.
 
-        Bytes behind a complete response do not spoil it, but rule out that the connection is used again.
+        Bytes behind a complete response do not invalidate it, but the connection cannot be used again.
 
         Raises:
-            MalformedResponseError: The response is invalid or too large.  The parser is of no further use.
+            MalformedResponseError: The response is invalid or too large.  The parser cannot be used further.
         """
         self.bytes_read += len(data)
         try:
@@ -71,33 +98,38 @@
                 self.check_size()
 
     def feed_eof(self) -> None:
-        """The endpoint has ended its sending, which completes a response that has no framing."""
+        """Complete a response that has no framing, as the endpoint has stopped sending."""
         if self.headers_complete and not self.has_framing:
             self.on_message_complete()
 
     def check_size(self) -> None:
-        """Bound what is read of an incomplete response."""
+        """Check that an incomplete response is within the limits.
+
+        Raises:
+            MalformedResponseError: It is not.
+        """
         limit = MAX_RESPONSE_BYTES if self.headers_complete else MAX_HEADER_BYTES
         if self.bytes_read > limit:
             raise MalformedResponseError(f"incomplete after {self.bytes_read} bytes, of {limit} allowed")
 
     def on_message_begin(self) -> None:
-        """Refuse a second response to one request."""
+        """Reject a second response to one request."""
         if self.is_complete:
             raise MalformedResponseError("bytes behind the response")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the headers that count."""
+        """Keep the headers that are used."""
         name = name.lower()
-        if name == b"server-load":
+        if name == LOAD_REPORT:
             self.load_report = value
-        elif name == b"not-started":
-            self.not_started = value == b"1"
-        elif name == b"content-type":
+        elif name == NOT_STARTED:
+            self.not_started = value == NOT_STARTED_TRUE
+        elif name == CONTENT_TYPE:
             self.content_type = value
-        elif name == b"content-length":
-            self.has_framing, self.content_length = True, int(value)  # the HTTP parser accepts digits only
-        elif name == b"transfer-encoding":
+        elif name == CONTENT_LENGTH:
+            self.has_framing = True
+            self.content_length = int(value)  # the HTTP parser accepts digits only
+        elif name == TRANSFER_ENCODING:
             self.has_framing = True
 
     def on_headers_complete(self) -> None:
@@ -119,12 +151,14 @@
         if status < FIRST_FINAL_STATUS:
             self.start_message()
             return
-        if status == 200:
-            self.outcome = Outcome.OK
-        elif status in (503, 504) and self.not_started:
-            self.outcome = Outcome.OVERLOADED
-        else:
-            self.outcome = Outcome.ERROR
+        self.outcome = self._outcome_of(status)
         self.body = b"".join(self.body_parts)
         self.is_complete = True
         self.is_reusable = self.has_framing and self.parser.should_keep_alive()
+
+    def _outcome_of(self, status: int) -> Outcome:
+        if status == OK_STATUS:
+            return Outcome.OK
+        if status in NOT_STARTED_STATUSES and self.not_started:
+            return Outcome.OVERLOADED
+        return Outcome.ERROR
