--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -7,23 +7,33 @@
 from gateway.address import parse_address
 from gateway.counter.client import CONNECTION_COUNT
 from gateway.policy.events import Outcome
-from tests.counter.support import counting, is_open, make_add
+from tests.support.counter import LONG_TIMEOUT_SECONDS, counting, make_add
 from tests.support.harness import async_test
-from tests.support.sockets import FakeCounter, listening, until
+from tests.support.sockets import FakeCounter, Handler, listening
 
 
 @async_test
 async def test_calls_are_pipelined_and_their_replies_come_in_order() -> None:
-    counter = FakeCounter()
-    async with counting(counter.handle) as (client, replies):
+    server = FakeCounter()
+    async with counting(server.handle) as counter:
         for amount in (4.0, -1.5, 0.0):
-            client.add(make_add(9, amount))
-        client.add(make_add(10, expires_after=90.0))
-        await until(lambda: len(replies) == 4)
-        assert [reply.total for reply in replies if reply.name == 9] == [4.0, 2.5, 2.5]
-        assert all(reply.outcome is Outcome.OK for reply in replies)
-        assert [b"TALLY", b"9", b"-1.500000", b"4000"] in counter.calls
-        assert [b"TALLY", b"10", b"1.000000", b"60000"] in counter.calls
+            counter.client.add(make_add(9, amount))
+        counter.client.add(make_add(10, expires_after=90.0))
+        await counter.until_replies(4)
+        assert [reply.total for reply in counter.replies if reply.name == 9] == [4.0, 2.5, 2.5]
+        assert all(outcome is Outcome.OK for outcome in counter.outcomes)
+        assert [b"TALLY", b"9", b"-1.500000", b"4000"] in server.calls
+        assert [b"TALLY", b"10", b"1.000000", b"60000"] in server.calls
+
+
+def gated(server: FakeCounter, gate: asyncio.Event) -> Handler:
+    """Return a handler that serves connections once the gate is open."""
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await gate.wait()
+        await server.handle(reader, writer)
+
+    return handle
 
 
 # Guards against a gap when the configuration names another counter, and against replies out of their order:
@@ -31,29 +41,27 @@
 @async_test
 async def test_calls_move_to_another_counter_without_a_gap() -> None:
     gate = asyncio.Event()
-    old, new = FakeCounter(), FakeCounter()
-
-    async def handle_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await gate.wait()
-        await old.handle(reader, writer)
-
+    old_server = FakeCounter()
+    new_server = FakeCounter()
     async with (
-        listening(new.handle) as new_address,
-        counting(handle_late, timeout_seconds=5.0) as (client, replies),
+        listening(new_server.handle) as new_address,
+        counting(gated(old_server, gate), LONG_TIMEOUT_SECONDS) as counter,
     ):
+        client = counter.client
         await client.ready
         client.add(make_add(8, 5.0))
         client.change_address(parse_address(new_address))
         client.add(make_add(8, 6.0))  # the old connection is used until the new one is open
-        await until(lambda: all(map(is_open, client.connections)) and not client.replacements)
+        await counter.until_moved()
         client.add(make_add(8, 7.0))
         await asyncio.sleep(0)
-        assert not replies
-        assert not new.calls
+        assert not counter.replies
+        assert not new_server.calls
         gate.set()
-        await until(lambda: len(replies) == 3)
-        assert [(reply.outcome, reply.total) for reply in replies][-1] == (Outcome.OK, 7.0)
-        assert [float(call[2]) for call in new.calls] == [7.0]
+        await counter.until_replies(3)
+        assert counter.last_reply.outcome is Outcome.OK
+        assert counter.last_reply.total == 7.0
+        assert [float(call[2]) for call in new_server.calls] == [7.0]
         addresses = [connection.address for connection in client.connections]
         assert addresses == [parse_address(new_address)] * CONNECTION_COUNT
 
@@ -61,11 +69,9 @@
 # Guards against an outage by a wrong address: the old counter serves until another one is up.
 @async_test
 async def test_an_unreachable_counter_does_not_take_over() -> None:
-    counter = FakeCounter()
-    async with counting(counter.handle) as (client, replies):
-        await until(lambda: all(map(is_open, client.connections)))
-        client.change_address(parse_address("127.0.0.1:1"))
-        client.change_address(parse_address("127.0.0.1:2"))
-        client.add(make_add())
-        await until(lambda: replies)
-        assert replies[0].outcome is Outcome.OK
+    async with counting(FakeCounter().handle) as counter:
+        await counter.until_open()
+        counter.client.change_address(parse_address("127.0.0.1:1"))
+        counter.client.change_address(parse_address("127.0.0.1:2"))
+        reply = await counter.add(make_add())
+        assert reply.outcome is Outcome.OK
--- a/tests/counter/test_resp.py
+++ b/tests/counter/test_resp.py
@@ -15,10 +15,17 @@
     UnexpectedReply,
     encode_add,
 )
-from tests.counter.support import make_add
+from tests.support.counter import make_add
 
 
-@pytest.mark.parametrize(("expires_after", "milliseconds"), [(4.0, b"4000"), (90.0, b"60000"), (0.0, b"1")])
+@pytest.mark.parametrize(
+    ("expires_after", "milliseconds"),
+    [
+        pytest.param(4.0, b"4000", id="accepted"),
+        pytest.param(90.0, b"60000", id="too long"),
+        pytest.param(0.0, b"1", id="too short"),
+    ],
+)
 def test_an_addition_is_encoded_with_an_expiry_that_the_counter_accepts(
     expires_after: float, milliseconds: bytes
 ) -> None:
@@ -30,20 +37,27 @@
 @pytest.mark.parametrize(
     ("data", "reply"),
     [
-        (b"$4\r\n-2.5\r\n", Total(-2.5)), (b"$5\r\n1e-07\r\n", Total(1e-07)), (b"+PONG\r\n", Pong()),
-        (b"-BUSY try later\r\n", ErrorReply("BUSY try later")), (b"$3\r\nnan\r\n", UnexpectedReply(b"nan")),
-        (b":5\r\n", UnexpectedReply(5)),
+        pytest.param(b"$4\r\n-2.5\r\n", Total(-2.5), id="total"),
+        pytest.param(b"$5\r\n1e-07\r\n", Total(1e-07), id="total with exponent"),
+        pytest.param(b"+PONG\r\n", Pong(), id="pong"),
+        pytest.param(b"-BUSY try later\r\n", ErrorReply("BUSY try later"), id="busy"),
+        pytest.param(b"$3\r\nnan\r\n", UnexpectedReply(b"nan"), id="nan"),
+        pytest.param(b":5\r\n", UnexpectedReply(5), id="integer"),
     ],
-)  # fmt: skip
+)
 def test_a_reply_is_parsed_with_its_last_byte(data: bytes, reply: Reply) -> None:
     parser = ReplyParser()
-    assert [found for byte in data[:-1] for found in parser.feed(bytes([byte]))] == []
+    for byte in data[:-1]:
+        assert list(parser.feed(bytes([byte]))) == []
     assert list(parser.feed(data[-1:] + data)) == [reply, reply]
 
 
 @pytest.mark.parametrize(
     ("data", "text"),
-    [(b"?!\r\n", "not RESP"), (b"$300000000\r\n" + b"7" * MAX_REPLY_BYTES, "more than 65536 bytes")],
+    [
+        pytest.param(b"?!\r\n", "not RESP", id="noise"),
+        pytest.param(b"$300000000\r\n" + b"7" * MAX_REPLY_BYTES, "more than 65536 bytes", id="too long"),
+    ],
 )
 def test_bytes_that_are_no_reply_are_an_error(data: bytes, text: str) -> None:
     with pytest.raises(MalformedReplyError, match=text) as raised:
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -6,7 +6,7 @@
 
 from gateway.address import Address, parse_address
 from gateway.policy.events import EndpointState, UpdateKind
-from tests.discovery.support import discovering, update_json
+from tests.support.discovery import discovering, update_json
 from tests.support.harness import async_test
 from tests.support.sockets import FakeDiscoveryAgent, host_line, listening, until
 
--- a/tests/discovery/test_endpoint_decoder.py
+++ b/tests/discovery/test_endpoint_decoder.py
@@ -10,7 +10,7 @@
 from gateway.discovery import endpoint_decoder
 from gateway.discovery.endpoint_decoder import EndpointDecoder, derive_endpoint_id
 from gateway.discovery.errors import DiscoveryError, MalformedEndpointError, MalformedUpdateError
-from tests.discovery.support import make_decoder
+from tests.support.discovery import make_decoder
 from tests.support.sockets import host_line
 
 
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gateway.discovery import connection_set, endpoint_watch
-from tests.discovery.support import PartitionedAgent, discovering, update_json
+from tests.support.discovery import PartitionedAgent, discovering, update_json
 from tests.support.harness import async_test
 from tests.support.sockets import FakeDiscoveryAgent, host_line, http_response, run, until
 
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gateway.discovery.json_stream import JsonStream
-from tests.discovery.support import update_json
+from tests.support.discovery import update_json
 from tests.support.sockets import host_line
 
 UPDATE = update_json(42, host_line('s-"{[', "127.0.0.1:81"), host_line("s-00000008", "127.0.0.1:82"))
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gateway.discovery import watch_connection
-from tests.discovery.support import discovering, update_json
+from tests.support.discovery import discovering, update_json
 from tests.support.harness import async_test
 from tests.support.sockets import FakeDiscoveryAgent, host_line, http_response, until
 
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -9,7 +9,7 @@
     FakeEndpoint,
     until,
 )
-from tests.upstream.scripts import echo_request_id
+from tests.support.upstream import echo_request_id
 
 
 # Guards against sending attempts on an old endpoint to a new one that listens at its address: the new one is
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -21,7 +21,7 @@
     running_gateway,
     until,
 )
-from tests.upstream.scripts import echo_request_id, one_at_a_time
+from tests.support.upstream import echo_request_id, one_at_a_time
 
 
 # Guards against forwarding bytes behind a response as the response to the next request: that one starts as
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -19,7 +19,7 @@
     send_on,
     until,
 )
-from tests.upstream.scripts import echo_request_id, one_at_a_time
+from tests.support.upstream import echo_request_id, one_at_a_time
 
 
 # Guards against forwarding a second copy of a response that comes some milliseconds late, when the next
