--- a/tests/discovery/test_endpoint_decoder.py
+++ b/tests/discovery/test_endpoint_decoder.py
@@ -10,7 +10,7 @@
 from gateway.discovery import endpoint_decoder
 from gateway.discovery.endpoint_decoder import EndpointDecoder, derive_endpoint_id
 from gateway.discovery.errors import DiscoveryError, MalformedEndpointError, MalformedUpdateError
-from tests.support.discovery import make_decoder
+from tests.support.discovery import FIRST_ENDPOINT, FIRST_ENDPOINT_ID, make_decoder
 from tests.support.sockets import host_line
 
 
@@ -21,15 +21,16 @@
 
 def test_host_names_map_to_the_same_ids_on_every_gateway() -> None:
     assert derive_endpoint_id("s-5be2a07c") == 0x5BE2A07C
-    assert derive_endpoint_id("worker-7") == derive_endpoint_id("worker-7") != derive_endpoint_id("worker-8")
+    assert derive_endpoint_id("worker-7") == derive_endpoint_id("worker-7")
+    assert derive_endpoint_id("worker-7") != derive_endpoint_id("worker-8")
     assert 0 <= derive_endpoint_id("s-5BE2A07C") < 1 << 32
 
 
 def test_an_unreadable_list_does_not_remove_all_endpoints(decoder: EndpointDecoder) -> None:
-    decoder.decode_update({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
+    decoder.decode_update({"seq": 1, "whole": True, "hosts": [FIRST_ENDPOINT]})
     with pytest.raises(MalformedUpdateError, match="no endpoint of 1"):
         decoder.decode_update({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
-    assert decoder.host_names == {7: "s-00000007"}
+    assert decoder.host_names == {FIRST_ENDPOINT_ID: "s-00000007"}
 
 
 # Guards against growth: endpoints are replaced all day by ones of ever new names.
@@ -54,15 +55,19 @@
 @pytest.mark.parametrize(
     ("field", "value"),
     [
-        ("health", "Unknown"), ("site", "z"), ("class", "m9"), ("born_ms", "soon"), ("block", None),
-        ("share", []), ("dial", "127.0.0.1"),
+        pytest.param("health", "Unknown", id="state"),
+        pytest.param("site", "z", id="zone"),
+        pytest.param("class", "m9", id="machine type"),
+        pytest.param("born_ms", "soon", id="start"),
+        pytest.param("block", None, id="cell"),
+        pytest.param("share", [], id="weight"),
+        pytest.param("dial", "127.0.0.1", id="address"),
     ],
-)  # fmt: skip
+)
 def test_an_error_names_the_malformed_field_and_its_value(
     field: str, value: Any, decoder: EndpointDecoder
 ) -> None:
-    line = host_line("s-00000007", "127.0.0.1:81")
     with pytest.raises(MalformedEndpointError) as raised:
-        decoder.decode_record(line | {field: value})
+        decoder.decode_record(FIRST_ENDPOINT | {field: value})
     assert str(raised.value) == f"host 's-00000007' has an unusable {field}: {value!r}"
     assert isinstance(raised.value, DiscoveryError)
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -7,19 +7,19 @@
 import pytest
 
 from gateway.discovery.json_stream import JsonStream
-from tests.support.discovery import update_json
+from tests.support.discovery import SECOND_ENDPOINT, update_json
 from tests.support.sockets import host_line
 
-UPDATE = update_json(42, host_line('s-"{[', "127.0.0.1:81"), host_line("s-00000008", "127.0.0.1:82"))
+UPDATE = update_json(42, host_line('s-"{[', "127.0.0.1:81"), SECOND_ENDPOINT)
 
 
 def feed_in_pieces(text: bytes, size: int) -> list[bytes]:
+    """Return the documents of a text that comes in pieces of this size, in bytes."""
     stream = JsonStream()
-    return [
-        document
-        for start in range(0, len(text), size)
-        for document in stream.feed(text[start : start + size])
-    ]
+    documents = []
+    for start in range(0, len(text), size):
+        documents += stream.feed(text[start : start + size])
+    return documents
 
 
 # Guards against an update that is complete only with the first byte of the next one, at any cut of the bytes.
@@ -34,7 +34,9 @@
     assert JsonStream().feed(b"\n" + UPDATE + b"\n\n") == [b"", UPDATE, b"", b""]
 
 
-@pytest.mark.parametrize("separator", [b"\n", b"\n\n"])
+@pytest.mark.parametrize(
+    "separator", [pytest.param(b"\n", id="line end"), pytest.param(b"\n\n", id="empty line")]
+)
 def test_an_update_behind_one_that_never_closes_is_not_lost(separator: bytes) -> None:
     documents = JsonStream().feed(b'{"seq":' + separator + UPDATE + b"\n")
     assert documents[0] == b'{"seq":'
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,27 +1,39 @@
-"""What the tests of endpoint discovery share: updates as JSON, a client of a fake agent, failing agents."""
+"""What the tests of endpoint discovery share: updates as JSON, a client of a fake agent, faulty agents."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import enum
 import json
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 from typing import Any
 
 from gateway.address import Address, parse_address
+from gateway.discovery import connection_set
 from gateway.discovery.client import DiscoveryClient
 from gateway.discovery.endpoint_decoder import EndpointDecoder
 from gateway.policy.events import EndpointUpdate
-from tests.support.sockets import FakeDiscoveryAgent, Handler, listening
+from tests.support.sockets import FakeDiscoveryAgent, Handler, host_line, http_response, listening, until
+
+FIRST_VERSION = 41  # of the list that a fake agent has at the start
+CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+BLANK_CHUNK = b"1\r\n \r\n"
+END_OF_HEAD = b"\r\n\r\n"
+FIRST_ENDPOINT = host_line("s-00000007", "127.0.0.1:81")
+FIRST_ENDPOINT_ID = 7
+SECOND_ENDPOINT = host_line("s-00000008", "127.0.0.1:82")
+SECOND_ENDPOINT_ID = 8
 
 
 def update_json(version: int, *hosts: Any, complete: bool = False) -> bytes:
-    """An endpoint list, or a change to it, as an agent sends it."""
+    """Return an endpoint list, or a delta, as an agent sends it."""
     return json.dumps({"seq": version, "whole": complete, "hosts": hosts}).encode()
 
 
 def make_decoder() -> EndpointDecoder:
+    """Return a decoder for two zones and two machine types."""
     return EndpointDecoder(("a", "b"), ("m1", "m2"))
 
 
@@ -44,10 +56,19 @@
     def last_version(self) -> int | None:
         return self.updates[-1].version if self.updates else None
 
+    @property
+    def endpoint_ids(self) -> list[int]:
+        """The endpoints of all updates, in order."""
+        return [record.endpoint_id for update in self.updates for record in update.records]
+
+    async def until_version(self, version: int) -> None:
+        """Wait until the last update has this version."""
+        await until(lambda: self.last_version == version)
+
 
 @contextlib.asynccontextmanager
 async def discovering(handler: Handler) -> AsyncIterator[tuple[DiscoveryClient, ReceivedUpdates]]:
-    """A client of the agent that the handler serves."""
+    """Run a client of the agent whose connections the handler serves."""
     async with listening(handler) as address:
         received = ReceivedUpdates()
         client = DiscoveryClient(parse_address(address), make_decoder(), received.append)
@@ -62,7 +83,8 @@
 
     def __init__(self, is_cut_off: Callable[[], bool]) -> None:
         super().__init__()
-        self.is_cut_off, self.attempts = is_cut_off, 0
+        self.is_cut_off = is_cut_off
+        self.attempts = 0  # connections while it was cut off
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.is_cut_off():
@@ -70,3 +92,98 @@
             await reader.read()
         else:
             await super().handle(reader, writer)
+
+
+class AgentFault(enum.Enum):
+    """What an agent does on a connection instead of bringing its endpoint list."""
+
+    SILENT = enum.auto()  # it never responds
+    SLOW = enum.auto()  # its response never ends
+    TRUNCATED = enum.auto()  # the end of its response never comes
+    ERROR_STATUS = enum.auto()
+    RESET = enum.auto()
+
+
+class FaultyAgent(FakeDiscoveryAgent):
+    """An agent that says nothing on an open watch, and has a fault on the next `remaining` connections."""
+
+    def __init__(self, fault: AgentFault) -> None:
+        super().__init__()
+        self.fault = fault
+        self.remaining = 0
+        self.attempts = 0  # connections that had the fault
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.remaining <= 0:
+            await super().handle(reader, writer)
+            return
+        self.remaining -= 1
+        self.attempts += 1
+        if self.fault is AgentFault.RESET:
+            writer.transport.abort()
+            return
+        await reader.readuntil(END_OF_HEAD)
+        await self.respond(reader, writer)
+        await reader.read()
+
+    async def respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to a request, with the fault."""
+        match self.fault:
+            case AgentFault.ERROR_STATUS:
+                writer.write(http_response(500))
+            case AgentFault.TRUNCATED:
+                writer.write(http_response(body=self.whole)[:-10])
+            case AgentFault.SLOW:
+                pause_seconds = connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS / 3
+                await respond_without_end(reader, writer, pause_seconds)
+
+
+async def respond_without_end(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pause_seconds: float
+) -> None:
+    """Write a response of blank chunks until the client closes the connection."""
+    writer.write(CHUNKED_RESPONSE_HEAD)
+    while not (writer.is_closing() or reader.at_eof()):
+        writer.write(BLANK_CHUNK)
+        await writer.drain()
+        await asyncio.sleep(pause_seconds)
+
+
+class SlowAgent(FakeDiscoveryAgent):
+    """An agent whose responses do not end while `is_slow` is set."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.is_slow = True
+        self.slow_responses = 0  # that are being sent
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if not self.is_slow:
+            await super().handle(reader, writer)
+            return
+        self.slow_responses += 1
+        with contextlib.suppress(OSError):
+            await respond_without_end(reader, writer, pause_seconds=0.01)
+        self.slow_responses -= 1
+
+
+class OvertakenAgent(FakeDiscoveryAgent):
+    """An agent that completes its first response, which has an old list, once `may_finish_old` is set."""
+
+    def __init__(self, old_list: bytes, new_list: bytes) -> None:
+        super().__init__(whole=new_list)
+        self.old_list = old_list
+        self.connections = 0
+        self.may_finish_old = asyncio.Event()
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
+        if self.connections > 1:
+            await super().handle(reader, writer)
+            return
+        await reader.readuntil(END_OF_HEAD)
+        response = http_response(body=self.old_list)
+        writer.write(response[:-1])
+        await self.may_finish_old.wait()
+        writer.write(response[-1:])
+        await reader.read()
