--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -1,13 +1,25 @@
-"""Responses of a fake endpoint and a policy that starts one attempt at a time."""
+"""What the tests of connections to endpoints share: responses, a policy, and two clients of one gateway."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import contextlib
+from collections.abc import AsyncIterator, Callable
+from dataclasses import dataclass
 from typing import Any
 
 from gateway.policy.actions import Action, Fail, StartAttempt
 from gateway.policy.events import AttemptFinished, Outcome, Request
-from tests.support.sockets import FIRST, Message, http_response
+from tests.support.sockets import (
+    FIRST,
+    Handler,
+    HttpClient,
+    Message,
+    ScriptedPolicy,
+    http_response,
+    listening,
+    read_message,
+    running_gateway,
+)
 
 
 def echo_request_id(message: Message) -> bytes:
@@ -16,7 +28,7 @@
 
 
 def one_at_a_time() -> Callable[[Any], list[Action]]:
-    """Return a policy that starts the next attempt once it hears that the last one has finished."""
+    """Return a policy that starts the next attempt once the last one has finished."""
     waiting: list[int] = []
 
     def react(event: Any) -> list[Action]:
@@ -30,3 +42,30 @@
         return []
 
     return react
+
+
+@dataclass(frozen=True)
+class TwoClients:
+    """Two clients of a gateway that has one attempt in flight at a time, and its scripted policy."""
+
+    policy: ScriptedPolicy
+    first: HttpClient
+    second: HttpClient
+
+    async def ask_both(self) -> list[Message]:
+        """Send a request of each client, with the ids `one` and `two`, and return the responses."""
+        self.first.writer.write(self.first.request(Request_Id="one"))
+        self.second.writer.write(self.second.request(Request_Id="two"))
+        return [await read_message(self.first.reader), await read_message(self.second.reader)]
+
+
+@contextlib.asynccontextmanager
+async def two_clients(handler: Handler) -> AsyncIterator[TwoClients]:
+    """Run a gateway with two clients; the handler serves the connections to its endpoint."""
+    async with (
+        listening(handler) as address,
+        running_gateway(address, react=one_at_a_time()) as (gateway, policy),
+        HttpClient(gateway.listener) as first,
+        HttpClient(gateway.listener) as second,
+    ):
+        yield TwoClients(policy, first, second)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -11,12 +11,12 @@
 class FakeConnection:
     """Stands in for the connection that carries an attempt."""
 
-    def __init__(self, has_unsent_bytes: bool = False) -> None:
+    def __init__(self, *, has_unsent_bytes: bool = False) -> None:
         self.has_unsent_bytes = has_unsent_bytes
-        self.aborted = 0
+        self.abort_count = 0
 
     def abort(self) -> None:
-        self.aborted += 1
+        self.abort_count += 1
 
 
 @pytest.fixture
@@ -47,7 +47,10 @@
 
 @pytest.mark.parametrize(
     ("reason", "outcome"),
-    [(Outcome.CANCELLED, Outcome.NOT_STARTED), (Outcome.TIMEOUT, Outcome.CONNECT_FAILED)],
+    [
+        pytest.param(Outcome.CANCELLED, Outcome.NOT_STARTED, id="cancelled"),
+        pytest.param(Outcome.TIMEOUT, Outcome.CONNECT_FAILED, id="timeout"),
+    ],
 )
 def test_an_attempt_that_is_abandoned_before_it_is_written_never_ran(
     attempt: Attempt, results: list[AttemptResult], reason: Outcome, outcome: Outcome
@@ -66,7 +69,7 @@
     attempt.abandon(Outcome.TIMEOUT)
     attempt.abandon(Outcome.CANCELLED)
     assert attempt.state is AttemptState.ABANDONED
-    assert connection.aborted == 1
+    assert connection.abort_count == 1
     assert not results
     assert attempt.outcome_of_lost_connection() is Outcome.TIMEOUT
 
@@ -74,19 +77,19 @@
 @pytest.mark.parametrize(
     ("reason", "has_unsent_bytes", "outcome"),
     [
-        (None, False, Outcome.RESET),
-        (None, True, Outcome.CONNECT_FAILED),
-        (Outcome.CANCELLED, False, Outcome.CANCELLED),
-        (Outcome.CANCELLED, True, Outcome.NOT_STARTED),
-        (Outcome.TIMEOUT, False, Outcome.TIMEOUT),
-        (Outcome.TIMEOUT, True, Outcome.TIMEOUT),
-        (Outcome.ERROR, False, Outcome.ERROR),
+        pytest.param(None, False, Outcome.RESET, id="lost"),
+        pytest.param(None, True, Outcome.CONNECT_FAILED, id="lost, incomplete"),
+        pytest.param(Outcome.CANCELLED, False, Outcome.CANCELLED, id="cancelled"),
+        pytest.param(Outcome.CANCELLED, True, Outcome.NOT_STARTED, id="cancelled, incomplete"),
+        pytest.param(Outcome.TIMEOUT, False, Outcome.TIMEOUT, id="timeout"),
+        pytest.param(Outcome.TIMEOUT, True, Outcome.TIMEOUT, id="timeout, incomplete"),
+        pytest.param(Outcome.ERROR, False, Outcome.ERROR, id="error"),
     ],
 )
 def test_the_outcome_of_a_lost_connection(
-    attempt: Attempt, reason: Outcome | None, has_unsent_bytes: bool, outcome: Outcome
+    attempt: Attempt, *, reason: Outcome | None, has_unsent_bytes: bool, outcome: Outcome
 ) -> None:
-    attempt.bind(FakeConnection(has_unsent_bytes))
+    attempt.bind(FakeConnection(has_unsent_bytes=has_unsent_bytes))
     if reason is not None:
         attempt.abandon(reason)
     assert attempt.outcome_of_lost_connection() is outcome
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -4,13 +4,11 @@
 
 from gateway.policy.events import Outcome
 from tests.support.harness import async_test, gateway_with_client
-from tests.support.sockets import (
-    FIRST,
-    FakeEndpoint,
-    until,
-)
+from tests.support.sockets import FIRST, FakeEndpoint, until
 from tests.support.upstream import echo_request_id
 
+NEW_ENDPOINT_ID = 9
+
 
 # Guards against sending attempts on an old endpoint to a new one that listens at its address: the new one is
 # warming up, and the responses that it keeps for idempotency keys are its own.
@@ -20,9 +18,9 @@
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.ask()).status == 200
         upstream = gateway.process.driver.upstream
-        upstream.set_endpoint(9, upstream.pools[FIRST].address, 0.0)
+        upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST].address, 0.0)
         await until(lambda: not endpoint.open)
         assert (await gateway.client.ask()).status == 502  # still meant for the old one
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
         assert len(endpoint.seen) == 1
-        assert list(upstream.pools) == [9]
+        assert list(upstream.pools) == [NEW_ENDPOINT_ID]
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -19,39 +19,42 @@
     send_on,
     until,
 )
-from tests.support.upstream import echo_request_id, one_at_a_time
+from tests.support.upstream import echo_request_id, two_clients
 
 
-# Guards against forwarding a second copy of a response that comes some milliseconds late, when the next
-# request could be in flight on its connection: for that time the connection is not used again.
-@async_test
-async def test_a_late_second_copy_is_not_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1.0)
+class DuplicatingEndpoint:
+    """An endpoint that sends a second copy of its first response a moment after `may_duplicate` is set."""
 
-    seen: list[str] = []
+    def __init__(self) -> None:
+        self.may_duplicate = asyncio.Event()
+        self.request_ids: list[str] = []
 
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             message = await read_message(reader)
-            seen.append(message.headers["request-id"])
+            self.request_ids.append(message.headers["request-id"])
             writer.write(echo_request_id(message))
-            if len(seen) == 1:
-                await until(lambda: script.outcomes())  # the next request goes out with this news
+            if len(self.request_ids) == 1:
+                await self.may_duplicate.wait()
                 await asyncio.sleep(0.005)
                 writer.write(echo_request_id(message))
 
-    async with (
-        listening(handle) as address,
-        running_gateway(address, react=one_at_a_time()) as (gateway, script),
-        HttpClient(gateway.listener) as one,
-        HttpClient(gateway.listener) as two,
-    ):
-        one.writer.write(one.request(Request_Id="one"))
-        two.writer.write(two.request(Request_Id="two"))
-        responses = [await read_message(c.reader) for c in (one, two)]
-        assert [(a.status, a.body) for a in responses] == [(200, b"one"), (200, b"two")]
-        assert script.outcomes() == [Outcome.OK, Outcome.OK]
-        assert seen == ["one", "two"]
+
+# Guards against forwarding a second copy of a response that comes some milliseconds late, when the next
+# request could be in flight on its connection: for that time the connection is not used again.
+@async_test
+async def test_a_late_second_copy_is_not_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1.0)
+    endpoint = DuplicatingEndpoint()
+    async with two_clients(endpoint.handle) as clients, asyncio.TaskGroup() as group:
+        responses_of_both = group.create_task(clients.ask_both())
+        await until(clients.policy.outcomes)  # the next request is forwarded with this event
+        endpoint.may_duplicate.set()
+        responses = await responses_of_both
+        assert [response.status for response in responses] == [200, 200]
+        assert [response.body for response in responses] == [b"one", b"two"]
+        assert clients.policy.outcomes() == [Outcome.OK, Outcome.OK]
+        assert endpoint.request_ids == ["one", "two"]
 
 
 # Guards against an attempt that is sent for a client that left during the reuse delay, and against losing the
@@ -61,7 +64,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
-
     endpoint = FakeEndpoint(echo_request_id)
     async with (
         listening(endpoint.handle) as address,
@@ -75,4 +77,4 @@
         assert script.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="three")).body == b"three"
-        assert [m.headers["request-id"] for m in endpoint.seen] == ["one", "three"]
+        assert [message.headers["request-id"] for message in endpoint.seen] == ["one", "three"]
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -10,8 +10,13 @@
 from tests.support.sockets import FakeEndpoint, Message
 
 MALFORMED = [
-    "TEXT util=none", "TEXT queue=1_0, util=0.5, latency_ms=3", "=,=,", "TEXT \xff\xfe", "nan",
-]  # fmt: skip
+    pytest.param("TEXT util=none", id="word"),
+    pytest.param("TEXT queue=1_0, util=0.5, latency_ms=3", id="number with underscore"),
+    pytest.param("=,=,", id="separators"),
+    pytest.param("TEXT \xff\xfe", id="bytes that are no text"),
+    pytest.param("nan", id="nan"),
+]
+EARLY_RESPONSES = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 
 
 @pytest.fixture
@@ -22,34 +27,45 @@
 @pytest.mark.parametrize(
     "text",
     [
-        b"TEXT latency_ms=3.25, util=0.5, queue=4", b"queue=4,util=0.5,latency_ms=3.25",
-        b"TEXT util = 0.5 , queue= 4, other=9, latency_ms=3.25, mark",
+        pytest.param(b"TEXT latency_ms=3.25, util=0.5, queue=4", id="in order"),
+        pytest.param(b"queue=4,util=0.5,latency_ms=3.25", id="another order, no prefix"),
+        pytest.param(
+            b"TEXT util = 0.5 , queue= 4, other=9, latency_ms=3.25, mark", id="blanks and other fields"
+        ),
     ],
-    ids=range(3),
-)  # fmt: skip
+)
 def test_a_report_gives_the_columns_in_the_order_of_the_settings(
     parser: LoadReportParser, text: bytes
 ) -> None:
     assert parser.parse(text) == (3.25, 0.5, 4.0)
 
 
-@pytest.mark.parametrize("text", ["", "latency_ms=3, util=0.5", "latency_ms=-3, util=1, queue=4", *MALFORMED])
+@pytest.mark.parametrize(
+    "text",
+    [
+        pytest.param("", id="empty"),
+        pytest.param("latency_ms=3, util=0.5", id="column missing"),
+        pytest.param("latency_ms=-3, util=1, queue=4", id="negative number"),
+        *MALFORMED,
+    ],
+)
 def test_a_report_that_is_malformed_or_lacks_a_column_is_empty(parser: LoadReportParser, text: str) -> None:
     assert parser.parse(text.encode("latin-1")) == ()
 
 
-@pytest.mark.parametrize("load", MALFORMED, ids=range(5))
+@pytest.mark.parametrize("load", MALFORMED)
 @async_test
 async def test_a_malformed_report_does_not_spoil_the_response(load: str) -> None:
     def respond(_message: Message) -> bytes:
-        early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
         head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
-        return early + head.encode("latin-1") + b"done"
+        return EARLY_RESPONSES + head.encode("latin-1") + b"done"
 
     endpoint = FakeEndpoint(respond)
     async with gateway_with_client(endpoint) as gateway:
         for _ in range(2):
             response = await gateway.client.ask()
-            assert (response.status, response.body) == (200, b"done")
-        assert [e.load_report for e in gateway.policy.of(AttemptFinished)] == [(), ()]
+            assert response.status == 200
+            assert response.body == b"done"
+        finished = gateway.policy.of(AttemptFinished)
+        assert [event.load_report for event in finished] == [(), ()]
         assert endpoint.opened == 1  # the connection goes on being used
--- a/tests/upstream/test_response_parser.py
+++ b/tests/upstream/test_response_parser.py
@@ -26,25 +26,33 @@
 
 @pytest.mark.parametrize("size", [1, 7, 1000])
 def test_a_response_is_complete_with_its_last_byte(parser: ResponseParser, size: int) -> None:
-    data = (
-        INTERIM + b"HTTP/1.1 200 OK\r\nServer-Load: a=1\r\ncontent-type: x/y\r\nContent-Length: 4\r\n\r\ndone"
-    )
+    head = b"HTTP/1.1 200 OK\r\nServer-Load: a=1\r\ncontent-type: x/y\r\nContent-Length: 4\r\n\r\n"
+    data = INTERIM + head + b"done"
     for start in range(0, len(data), size):
         assert not parser.is_complete
         parser.feed(data[start : start + size])
-    assert (parser.is_complete, parser.is_reusable) == (True, True)
-    assert (parser.outcome, parser.body) == (Outcome.OK, b"done")
-    assert (parser.load_report, parser.content_type) == (b"a=1", b"x/y")
+    assert parser.is_complete
+    assert parser.is_reusable
+    assert parser.outcome is Outcome.OK
+    assert parser.body == b"done"
+    assert parser.load_report == b"a=1"
+    assert parser.content_type == b"x/y"
 
 
 @pytest.mark.parametrize(
     ("status", "not_started", "outcome"),
     [
-        (200, b"0", Outcome.OK), (200, b"1", Outcome.OK), (201, b"0", Outcome.ERROR),
-        (404, b"1", Outcome.ERROR), (500, b"1", Outcome.ERROR), (503, b"0", Outcome.ERROR),
-        (503, b"1", Outcome.OVERLOADED), (504, b"1", Outcome.OVERLOADED), (504, b"true", Outcome.ERROR),
+        (200, b"0", Outcome.OK),
+        (200, b"1", Outcome.OK),
+        (201, b"0", Outcome.ERROR),
+        (404, b"1", Outcome.ERROR),
+        (500, b"1", Outcome.ERROR),
+        (503, b"0", Outcome.ERROR),
+        (503, b"1", Outcome.OVERLOADED),
+        (504, b"1", Outcome.OVERLOADED),
+        (504, b"true", Outcome.ERROR),
     ],
-)  # fmt: skip
+)
 def test_the_outcome_follows_from_status_and_not_started(
     parser: ResponseParser, status: int, not_started: bytes, outcome: Outcome
 ) -> None:
@@ -58,31 +66,54 @@
     parser.reset()
     assert not parser.is_complete
     parser.feed(OK)
-    assert (parser.outcome, parser.body, parser.load_report) == (Outcome.OK, b"done", b"")
+    assert parser.outcome is Outcome.OK
+    assert parser.body == b"done"
+    assert parser.load_report == b""
 
 
-@pytest.mark.parametrize("behind", [OK, b"\x00\x01 noise", b"HTTP/1.1 5"], ids=range(3))
+@pytest.mark.parametrize(
+    "behind",
+    [
+        pytest.param(OK, id="second response"),
+        pytest.param(b"\x00\x01 noise", id="noise"),
+        pytest.param(b"HTTP/1.1 5", id="part of a response"),
+    ],
+)
 def test_bytes_behind_a_response_do_not_spoil_it_but_its_connection(
     parser: ResponseParser, behind: bytes
 ) -> None:
     parser.feed(OK + behind)
-    assert (parser.is_complete, parser.is_reusable) == (True, False)
-    assert (parser.outcome, parser.body) == (Outcome.OK, b"done")
+    assert parser.is_complete
+    assert not parser.is_reusable
+    assert parser.outcome is Outcome.OK
+    assert parser.body == b"done"
 
 
 def test_connection_close_rules_out_reuse(parser: ResponseParser) -> None:
     parser.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-    assert (parser.is_complete, parser.is_reusable) == (True, False)
+    assert parser.is_complete
+    assert not parser.is_reusable
 
 
 def test_the_end_of_the_connection_completes_a_response_without_framing(parser: ResponseParser) -> None:
     parser.feed(WITHOUT_FRAMING)
     assert not parser.is_complete
     parser.feed_eof()
-    assert (parser.is_complete, parser.is_reusable, parser.body) == (True, False, b"some")
+    assert parser.is_complete
+    assert not parser.is_reusable
+    assert parser.body == b"some"
 
 
-@pytest.mark.parametrize("data", [b"", b"HTTP/1.1 200 OK\r\n", OK[:-1], CHUNKED + b"4\r\ndone", INTERIM])
+@pytest.mark.parametrize(
+    "data",
+    [
+        pytest.param(b"", id="nothing"),
+        pytest.param(b"HTTP/1.1 200 OK\r\n", id="part of the headers"),
+        pytest.param(OK[:-1], id="part of the body"),
+        pytest.param(CHUNKED + b"4\r\ndone", id="part of a chunk"),
+        pytest.param(INTERIM, id="interim responses"),
+    ],
+)
 def test_the_end_of_the_connection_does_not_complete_part_of_a_response(
     parser: ResponseParser, data: bytes
 ) -> None:
@@ -95,15 +126,21 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"HTTP/1.1 200 OK\r\nX-Pad: ".ljust(MAX_HEADER_BYTES + 1, b"x"),
-        INTERIM * (MAX_HEADER_BYTES // len(INTERIM) + 1),
-        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
-        CHUNKED + b"%x\r\n" % (MAX_BODY_BYTES + 1) + b"x" * (MAX_BODY_BYTES + 1),
-        (CHUNKED + b"0001" + b"\r\nx\r\n0001" * MAX_BODY_BYTES)[: MAX_RESPONSE_BYTES + 1],
-        b"\x16\x03\x01 noise\r\n\r\n",
-        b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + OK,
+        pytest.param(b"HTTP/1.1 200 OK\r\nX-Pad: ".ljust(MAX_HEADER_BYTES + 1, b"x"), id="headers"),
+        pytest.param(INTERIM * (MAX_HEADER_BYTES // len(INTERIM) + 1), id="interim responses"),
+        pytest.param(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), id="announced body"
+        ),
+        pytest.param(CHUNKED + b"%x\r\n" % (MAX_BODY_BYTES + 1) + b"x" * (MAX_BODY_BYTES + 1), id="body"),
+        pytest.param(
+            (CHUNKED + b"0001" + b"\r\nx\r\n0001" * MAX_BODY_BYTES)[: MAX_RESPONSE_BYTES + 1], id="chunks"
+        ),
+        pytest.param(b"\x16\x03\x01 noise\r\n\r\n", id="noise"),
+        pytest.param(
+            b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + OK,
+            id="upgrade",
+        ),
     ],
-    ids=["headers", "interim responses", "announced body", "body", "chunks", "noise", "upgrade"],
 )
 def test_a_response_that_is_invalid_or_too_large_is_malformed(parser: ResponseParser, data: bytes) -> None:
     with pytest.raises(MalformedResponseError) as error:
