--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-import asyncio
-
 from gateway.address import Address, parse_address
 from gateway.policy.events import EndpointState, UpdateKind
 from tests.support.discovery import (
     FIRST_ENDPOINT,
     FIRST_ENDPOINT_ID,
     SECOND_ENDPOINT,
+    GatedAgent,
     discovering,
     update_json,
 )
@@ -39,18 +38,6 @@
         assert delta.records[0].state is EndpointState.GONE
 
 
-class GatedAgent(FakeDiscoveryAgent):
-    """An agent that serves connections once `may_serve` is set."""
-
-    def __init__(self, whole: bytes) -> None:
-        super().__init__(whole=whole)
-        self.may_serve = asyncio.Event()
-
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self.may_serve.wait()
-        await super().handle(reader, writer)
-
-
 # Guards against a gap when the configuration names another agent: the old list and its changes count until
 # the new agent's complete list is there, whatever its versions, and the old agent is left alone then.
 @async_test
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -23,53 +23,71 @@
     config = parse_config(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
     expected = parse_settings(settings_text(report__columns="latency_ms,util"))
     assert config.settings == expected
-    assert (config.machine_types, config.endpoint_idle_timeout, config.seed) == (("m2",), 30.0, 0x8C1F)
+    assert config.machine_types == ("m2",)
+    assert config.endpoint_idle_timeout == 30.0
+    assert config.seed == 0x8C1F
     assert config.counter == Address("127.0.0.1", 6400)
 
 
 def test_environment_takes_precedence() -> None:
     config = parse_config(config_text([]), {"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.7:9"})
-    assert (config.name, config.listen) == ("n7", Address("127.0.0.7", 9))
+    assert config.name == "n7"
+    assert config.listen == Address("127.0.0.7", 9)
 
 
 def test_file_takes_precedence_for_discovery_when_it_is_read_again() -> None:
     """The variable says where the agent was at the start: a gateway must not stay with the old agent."""
     env = {"NODE_DISCOVERY": "127.0.0.1:7"}
-    assert parse_config(config_text([], discovery="127.0.0.1:8"), env).discovery == Address("127.0.0.1", 7)
-    assert parse_config(config_text([], discovery="127.0.0.1:8"), env, again=True).discovery.port == 8
-    assert parse_config(config_without("discovery"), env, again=True).discovery.port == 7
+    text = config_text([], discovery="127.0.0.1:8")
+    assert parse_config(text, env).discovery == Address("127.0.0.1", 7)
+    assert parse_config(text, env, again=True).discovery == Address("127.0.0.1", 8)
+    assert parse_config(config_without("discovery"), env, again=True).discovery == Address("127.0.0.1", 7)
 
 
 @pytest.mark.parametrize(
     "malformed",
     [
-        "{", "[]", "{}", config_without("listen"), config_without("settings"), config_without("limits"),
-        config_without("seed"), config_text([], rules__warm_up_s="soon"),
-        config_text([], discovery="nowhere"),
-        config_text([]).replace('"sockets": 1024', '"sockets": 10'),
+        pytest.param("{", id="not JSON"),
+        pytest.param("[]", id="not an object"),
+        pytest.param("{}", id="empty"),
+        pytest.param(config_without("listen"), id="no listen"),
+        pytest.param(config_without("settings"), id="no settings"),
+        pytest.param(config_without("limits"), id="no limits"),
+        pytest.param(config_without("seed"), id="no seed"),
+        pytest.param(config_text([], rules__warm_up_s="soon"), id="malformed setting"),
+        pytest.param(config_text([], discovery="nowhere"), id="malformed address"),
+        pytest.param(config_text([]).replace('"sockets": 1024', '"sockets": 10'), id="few sockets"),
     ],
-)  # fmt: skip
+)
 def test_malformed_configuration_is_rejected(malformed: str) -> None:
     with pytest.raises(ConfigError):
         parse_config(malformed, {})
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "key", "value"),
+    ("valid", "invalid", "key", "value"),
     [
-        ('"seed": "8c1f"', '"seed": "x"', "seed", "'x'"),
-        ('"discovery": "127.0.0.1:1"', '"discovery": "nowhere"', "discovery", "'nowhere'"),
-        ('"sockets": 1024', '"sockets": 10', "limits.sockets", "10"),
-        ('"memory_mb": 192', '"memory_mb": 8', "limits.memory_mb", "8"),
-        ('"conn_idle_s": "30.0"', '"conn_idle_s": "soon"', "settings.caps.conn_idle_s", "'soon'"),
-        ('"known": {', '"known": [1], "other": {', "known", "list"),
+        pytest.param('"seed": "8c1f"', '"seed": "x"', "seed", "'x'", id="seed"),
+        pytest.param(
+            '"discovery": "127.0.0.1:1"', '"discovery": "nowhere"', "discovery", "'nowhere'", id="address"
+        ),
+        pytest.param('"sockets": 1024', '"sockets": 10', "limits.sockets", "10", id="sockets"),
+        pytest.param('"memory_mb": 192', '"memory_mb": 8', "limits.memory_mb", "8", id="memory"),
+        pytest.param(
+            '"conn_idle_s": "30.0"',
+            '"conn_idle_s": "soon"',
+            "settings.caps.conn_idle_s",
+            "'soon'",
+            id="idle timeout",
+        ),
+        pytest.param('"known": {', '"known": [1], "other": {', "known", "list", id="cached endpoints"),
     ],
 )
-def test_error_names_key_and_value_in_one_line(old: str, new: str, key: str, value: str) -> None:
+def test_error_names_key_and_value_in_one_line(valid: str, invalid: str, key: str, value: str) -> None:
     config = config_text([])
-    assert old in config
+    assert valid in config
     with pytest.raises(InvalidValueError) as raised:
-        parse_config(config.replace(old, new), {})
+        parse_config(config.replace(valid, invalid), {})
     assert raised.value.key == key
     assert value in raised.value.problem
     assert str(raised.value).startswith(f"{key}: ")
@@ -88,7 +106,19 @@
         parse_config(config, {})
 
 
-@pytest.mark.parametrize("value", ["", "host", ":80", "host:", "host:x", "host:-1", "host:65536", None])
+@pytest.mark.parametrize(
+    "value",
+    [
+        pytest.param("", id="empty"),
+        pytest.param("host", id="no port"),
+        pytest.param(":80", id="no host"),
+        pytest.param("host:", id="empty port"),
+        pytest.param("host:x", id="port that is no number"),
+        pytest.param("host:-1", id="negative port"),
+        pytest.param("host:65536", id="large port"),
+        pytest.param(None, id="none"),
+    ],
+)
 def test_malformed_address_is_rejected(value: str | None) -> None:
     with pytest.raises(AddressError) as raised:
         parse_address(value)
--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -3,38 +3,58 @@
 from __future__ import annotations
 
 import asyncio
-import json
+import contextlib
 import time
-
-import pytest
+from collections.abc import AsyncIterator
 
 from gateway.process import GatewayProcess
+from tests.support.discovery import GatedAgent, update_json
 from tests.support.harness import async_test
-from tests.support.sockets import FakeDiscoveryAgent, host_line, listening, make_config, until
+from tests.support.sockets import host_line, listening, make_config, until
+
+CACHED_ENDPOINT = host_line("s-00000001", "127.0.0.1:1")
+CACHED_ENDPOINT_ID = 1
+PRESENT_ENDPOINT = host_line("s-00000002", "127.0.0.1:2")
+PRESENT_ENDPOINT_ID = 2
+MAX_START_SECONDS = 10
+
+
+def gated_agent() -> GatedAgent:
+    """Return an agent that has another endpoint than the cached list."""
+    return GatedAgent(update_json(42, PRESENT_ENDPOINT, complete=True))
+
+
+@contextlib.asynccontextmanager
+async def gateway_with_cached_list(agent: GatedAgent, list_timeout: float) -> AsyncIterator[GatewayProcess]:
+    """Yield a gateway that is not started yet; its start waits this many seconds for the agent's list."""
+    async with listening(agent.handle) as discovery:
+        gateway = GatewayProcess(make_config([CACHED_ENDPOINT], discovery=discovery))
+        gateway.endpoint_list_timeout = list_timeout
+        yield gateway
+        await gateway.close()
 
 
 # Guards against requests that are sent by the endpoint list of an earlier process: the list that discovery
-# has counts from the first request on.  An agent that is unavailable must not keep the process from serving.
-@pytest.mark.parametrize("away", [False, True])
+# has counts from the first request on.
 @async_test
-async def test_the_start_waits_for_the_endpoint_list_but_not_for_ever(away: bool) -> None:
-    agent, go, began = FakeDiscoveryAgent(), asyncio.Event(), time.monotonic()
-
-    async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await go.wait()
-        await agent.handle(reader, writer)
-
-    old, new = host_line("s-00000001", "127.0.0.1:1"), host_line("s-00000002", "127.0.0.1:2")
-    agent.whole = json.dumps({"seq": 42, "whole": True, "hosts": [new]}).encode()
-    async with listening(late) as discovery:
-        gateway = GatewayProcess(make_config([old], discovery=discovery))
-        gateway.endpoint_list_timeout = 0.05 if away else 15.0
+async def test_the_start_waits_for_the_endpoint_list() -> None:
+    began_at = time.monotonic()
+    agent = gated_agent()
+    async with gateway_with_cached_list(agent, list_timeout=15.0) as gateway:
         start = asyncio.create_task(gateway.start())
-        if not away:
-            await until(lambda: gateway.discovery.agent_watches[0].connections)
-            assert not start.done()
-            go.set()
+        await until(lambda: gateway.discovery.agent_watches[0].connections)
+        assert not start.done()
+        agent.may_serve.set()
         await start
-        assert list(gateway.driver.upstream.pools) == [1 if away else 2]
-        assert time.monotonic() - began < 10
-        await gateway.close()
+        assert list(gateway.driver.upstream.pools) == [PRESENT_ENDPOINT_ID]
+        assert time.monotonic() - began_at < MAX_START_SECONDS
+
+
+# Guards against an agent that is unavailable and keeps the process from serving.
+@async_test
+async def test_the_start_does_not_wait_for_the_endpoint_list_for_ever() -> None:
+    began_at = time.monotonic()
+    async with gateway_with_cached_list(gated_agent(), list_timeout=0.05) as gateway:
+        await gateway.start()
+        assert list(gateway.driver.upstream.pools) == [CACHED_ENDPOINT_ID]
+        assert time.monotonic() - began_at < MAX_START_SECONDS
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -78,6 +78,18 @@
             client.close()
 
 
+class GatedAgent(FakeDiscoveryAgent):
+    """An agent that serves connections once `may_serve` is set."""
+
+    def __init__(self, whole: bytes) -> None:
+        super().__init__(whole=whole)
+        self.may_serve = asyncio.Event()
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await self.may_serve.wait()
+        await super().handle(reader, writer)
+
+
 class PartitionedAgent(FakeDiscoveryAgent):
     """An agent that accepts connections while it is cut off, and never responds on those."""
 
