--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -8,8 +8,9 @@
 from gateway.counter.client import CONNECTION_COUNT
 from gateway.policy.events import Outcome
 from tests.support.counter import LONG_TIMEOUT_SECONDS, counting, make_add
-from tests.support.harness import async_test
-from tests.support.sockets import FakeCounter, Handler, listening
+from tests.support.event_loop import async_test
+from tests.support.fake_counter import FakeCounter
+from tests.support.fake_server import Handler, listening
 
 
 @async_test
@@ -62,8 +63,7 @@
         assert counter.last_reply.outcome is Outcome.OK
         assert counter.last_reply.total == 7.0
         assert [float(call[2]) for call in new_server.calls] == [7.0]
-        addresses = [connection.address for connection in client.connections]
-        assert addresses == [parse_address(new_address)] * CONNECTION_COUNT
+        assert counter.addresses == [parse_address(new_address)] * CONNECTION_COUNT
 
 
 # Guards against an outage by a wrong address: the old counter serves until another one is up.
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -23,8 +23,9 @@
     make_add,
     never_reply,
 )
-from tests.support.harness import async_test
-from tests.support.sockets import FakeCounter, listening, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_counter import FakeCounter
+from tests.support.fake_server import listening
 
 
 def counter_with_first_reply(first_reply: bytes) -> FakeCounter:
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -12,8 +12,9 @@
     discovering,
     update_json,
 )
-from tests.support.harness import async_test
-from tests.support.sockets import FakeDiscoveryAgent, host_line, listening, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_server import listening
 
 
 @async_test
--- a/tests/discovery/test_endpoint_decoder.py
+++ b/tests/discovery/test_endpoint_decoder.py
@@ -11,7 +11,7 @@
 from gateway.discovery.endpoint_decoder import EndpointDecoder, derive_endpoint_id
 from gateway.discovery.errors import DiscoveryError, MalformedEndpointError, MalformedUpdateError
 from tests.support.discovery import FIRST_ENDPOINT, FIRST_ENDPOINT_ID, make_decoder
-from tests.support.sockets import host_line
+from tests.support.fake_discovery import host_line
 
 
 @pytest.fixture
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -23,8 +23,8 @@
     discovering,
     update_json,
 )
-from tests.support.harness import async_test
-from tests.support.sockets import FakeDiscoveryAgent, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_discovery import END_OF_WATCH, FakeDiscoveryAgent
 
 CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # by the operators' terms
 FAULTY_ATTEMPTS = 4  # after which an update still has to be known in that time
@@ -158,7 +158,7 @@
 # counts from a lower version: its changes must not be taken for known ones.
 @async_test
 async def test_a_closed_connection_is_replaced_starting_with_the_complete_list() -> None:
-    agent = FakeDiscoveryAgent([update_json(44), b"<end>"])
+    agent = FakeDiscoveryAgent([update_json(44), END_OF_WATCH])
     async with discovering(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
         agent.lines.clear()
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -15,8 +15,9 @@
     discovering,
     update_json,
 )
-from tests.support.harness import async_test
-from tests.support.sockets import FakeDiscoveryAgent, host_line, http_response, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.http_messages import http_response
 
 
 class WrittenAgent(FakeDiscoveryAgent):
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -14,9 +14,8 @@
     parse_config,
 )
 from gateway.settings_parser import parse_settings
-from tests.support.harness import config_without
+from tests.support.gateway import config_text, config_without
 from tests.support.policy import settings_text
-from tests.support.sockets import config_text
 
 
 def test_nested_settings_read_as_the_simulators_do() -> None:
--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -9,8 +9,10 @@
 
 from gateway.process import GatewayProcess
 from tests.support.discovery import GatedAgent, update_json
-from tests.support.harness import async_test
-from tests.support.sockets import host_line, listening, make_config, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_discovery import host_line
+from tests.support.fake_server import listening
+from tests.support.gateway import make_config
 
 CACHED_ENDPOINT = host_line("s-00000001", "127.0.0.1:1")
 CACHED_ENDPOINT_ID = 1
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -7,12 +7,13 @@
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
 
-from gateway.address import parse_address
+from gateway.address import Address, parse_address
 from gateway.counter.client import CounterClient
 from gateway.counter.connection import ConnectionState, CounterConnection
 from gateway.policy.actions import AddToCounter
 from gateway.policy.events import CounterReply, Outcome
-from tests.support.sockets import Handler, listening, until
+from tests.support.event_loop import until
+from tests.support.fake_server import Handler, listening
 
 SHORT_TIMEOUT_SECONDS = 0.08  # of a call that is to be answered at once, or not at all
 LONG_TIMEOUT_SECONDS = 5.0  # of a call that ends for another reason
@@ -33,6 +34,11 @@
     def last_reply(self) -> CounterReply:
         return self.replies[-1]
 
+    @property
+    def addresses(self) -> list[Address]:
+        """The address of each connection in use."""
+        return [connection.address for connection in self.client.connections]
+
     @property
     def first_connection(self) -> CounterConnection:
         """The connection that carries calls of the name 8."""
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -15,7 +15,10 @@
 from gateway.discovery.client import DiscoveryClient
 from gateway.discovery.endpoint_decoder import EndpointDecoder
 from gateway.policy.events import EndpointUpdate
-from tests.support.sockets import FakeDiscoveryAgent, Handler, host_line, http_response, listening, until
+from tests.support.event_loop import until
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_server import Handler, listening
+from tests.support.http_messages import http_response
 
 FIRST_VERSION = 41  # of the list that a fake agent has at the start
 CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -9,17 +9,11 @@
 
 from gateway.policy.actions import Action, Fail, StartAttempt
 from gateway.policy.events import AttemptFinished, Outcome, Request
-from tests.support.sockets import (
-    FIRST,
-    Handler,
-    HttpClient,
-    Message,
-    ScriptedPolicy,
-    http_response,
-    listening,
-    read_message,
-    running_gateway,
-)
+from tests.support.fake_server import FakeServer, Handler
+from tests.support.gateway import running_gateway
+from tests.support.http_client import HttpClient
+from tests.support.http_messages import Message, http_response, read_message
+from tests.support.scripted_policy import FIRST, ScriptedPolicy
 
 
 def echo_request_id(message: Message) -> bytes:
@@ -60,11 +54,10 @@
 
 
 @contextlib.asynccontextmanager
-async def two_clients(handler: Handler) -> AsyncIterator[TwoClients]:
-    """Run a gateway with two clients; the handler serves the connections to its endpoint."""
+async def two_clients(endpoint: FakeServer | Handler) -> AsyncIterator[TwoClients]:
+    """Run a gateway with two clients and one endpoint."""
     async with (
-        listening(handler) as address,
-        running_gateway(address, react=one_at_a_time()) as (gateway, policy),
+        running_gateway(endpoint, react=one_at_a_time()) as (gateway, policy),
         HttpClient(gateway.listener) as first,
         HttpClient(gateway.listener) as second,
     ):
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 from gateway.policy.events import Outcome
-from tests.support.harness import async_test, gateway_with_client
-from tests.support.sockets import FIRST, FakeEndpoint, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_endpoint import FakeEndpoint
+from tests.support.gateway import gateway_with_client
+from tests.support.scripted_policy import FIRST
 from tests.support.upstream import echo_request_id
 
 NEW_ENDPOINT_ID = 9
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -11,8 +11,13 @@
 import pytest
 
 from gateway.policy.events import AttemptFinished, Outcome
-from tests.support.harness import async_test, gateway_with_client
-from tests.support.sockets import FIRST, FakeEndpoint, Handler, http_response, read_message, until
+from tests.support.event_loop import async_test, until
+from tests.support.fake_endpoint import FakeEndpoint
+from tests.support.fake_server import Handler
+from tests.support.gateway import gateway_with_client
+from tests.support.http_client import NON_IDEMPOTENT_CLASS
+from tests.support.http_messages import http_response, read_message
+from tests.support.scripted_policy import FIRST
 from tests.support.upstream import echo_request_id, two_clients
 
 
@@ -29,7 +34,7 @@
 @async_test
 async def test_bytes_behind_a_response_are_not_the_next_response(behind: bytes) -> None:
     endpoint = FakeEndpoint(lambda message: echo_request_id(message) + behind)
-    async with two_clients(endpoint.handle) as clients:
+    async with two_clients(endpoint) as clients:
         responses = await clients.ask_both()
         assert [response.status for response in responses] == [200, 200]
         assert [response.body for response in responses] == [b"one", b"two"]
@@ -145,7 +150,7 @@
 @async_test
 async def test_a_response_without_framing_ends_with_its_connection() -> None:
     async with gateway_with_client(endpoint_that_ends_by(ResponseEnd.CLOSE)) as gateway:
-        response = await gateway.client.ask(2)
+        response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
         assert response.status == 200
         assert response.body == b"something"
         assert gateway.policy.outcomes() == [Outcome.OK]
@@ -164,7 +169,7 @@
 @async_test
 async def test_a_response_without_framing_does_not_end_by_a_reset_or_in_its_middle(end: ResponseEnd) -> None:
     async with gateway_with_client(endpoint_that_ends_by(end)) as gateway:
-        response = await gateway.client.ask(2)
+        response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
         assert response.status == 502
         assert response.body == b""
         assert gateway.policy.outcomes() == [Outcome.RESET]
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -8,17 +8,12 @@
 
 from gateway.policy.events import ClientDisconnected, Outcome
 from gateway.upstream import connection_pool
-from tests.support.harness import async_test
-from tests.support.sockets import (
-    FIRST,
-    FakeEndpoint,
-    HttpClient,
-    listening,
-    read_message,
-    running_gateway,
-    send_on,
-    until,
-)
+from tests.support.event_loop import async_test, until
+from tests.support.fake_endpoint import FakeEndpoint
+from tests.support.gateway import running_gateway
+from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
+from tests.support.http_messages import read_message
+from tests.support.scripted_policy import FIRST, forward_to_first
 from tests.support.upstream import echo_request_id, two_clients
 
 
@@ -65,16 +60,13 @@
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
     endpoint = FakeEndpoint(echo_request_id)
-    async with (
-        listening(endpoint.handle) as address,
-        running_gateway(address, react=send_on) as (gateway, script),
-    ):
+    async with running_gateway(endpoint, react=forward_to_first) as (gateway, policy):
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="one")).body == b"one"
-            client.writer.write(client.request(2, Request_Id="two"))
+            client.writer.write(client.request(NON_IDEMPOTENT_CLASS, Request_Id="two"))
             await until(lambda: gateway.driver.upstream.pools[FIRST].waiting)
-        await until(lambda: script.of(ClientDisconnected))
-        assert script.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
+        await until(lambda: policy.of(ClientDisconnected))
+        assert policy.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="three")).body == b"three"
         assert [message.headers["request-id"] for message in endpoint.seen] == ["one", "three"]
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -6,8 +6,10 @@
 
 from gateway.policy.events import AttemptFinished
 from gateway.upstream.load_report import LoadReportParser
-from tests.support.harness import async_test, gateway_with_client
-from tests.support.sockets import FakeEndpoint, Message
+from tests.support.event_loop import async_test
+from tests.support.fake_endpoint import FakeEndpoint
+from tests.support.gateway import gateway_with_client
+from tests.support.http_messages import Message
 
 MALFORMED = [
     pytest.param("TEXT util=none", id="word"),
