--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import enum
+
 import httptools
 
 from gateway.policy.events import Outcome
@@ -23,13 +25,27 @@
 TRANSFER_ENCODING = b"transfer-encoding"
 
 
+class ResponseState(enum.Enum):
+    """How much of the final response has come."""
+
+    HEADERS = enum.auto()  # not all of its headers; interim responses may precede them
+    BODY = enum.auto()  # all of its headers, not all of its body
+    COMPLETE = enum.auto()
+
+
+# Looked up once: access to a member through its class takes a Python call in Python 3.11.
+HEADERS = ResponseState.HEADERS
+BODY = ResponseState.BODY
+COMPLETE = ResponseState.COMPLETE
+
+
 class ResponseParser:
     """Parses the responses on one connection, one at a time.
 
     `reset` prepares the parser for the next response.  The HTTP parser calls the methods named `on_...`.
 
     Attributes:
-        is_complete: Whether the final response is complete; the attributes below hold from then on.
+        state: How much of the response has come; the attributes below hold once it is COMPLETE.
         is_reusable: Whether the connection can carry another request.
         outcome: What the response means to the policy.
         body: The body of the response.
@@ -45,13 +61,12 @@
         "content_length",
         "content_type",
         "has_framing",
-        "headers_complete",
-        "is_complete",
         "is_reusable",
         "load_report",
         "not_started",
         "outcome",
         "parser",
+        "state",
     )
 
     def __init__(self) -> None:
@@ -62,14 +77,13 @@
     def reset(self) -> None:
         """Forget the last response."""
         self.bytes_read = 0  # since the last final response, including interim responses
-        self.is_complete = False
         self.is_reusable = False
         self.body = b""
         self.start_message()
 
     def start_message(self) -> None:
         """Expect the first byte of an interim or final response."""
-        self.headers_complete = False
+        self.state = HEADERS
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.content_length = 0
@@ -78,6 +92,11 @@
         self.load_report = b""
         self.content_type = b""
 
+    @property
+    def is_complete(self) -> bool:
+        """Whether the final response is complete."""
+        return self.state is COMPLETE
+
     def feed(self, data: bytes) -> None:
         """Parse the bytes that were read.
 
@@ -90,16 +109,16 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self.is_complete:
+            if self.state is not COMPLETE:
                 raise MalformedResponseError(str(error.__context__ or error)) from error
             self.is_reusable = False
         else:
-            if not self.is_complete:
+            if self.state is not COMPLETE:
                 self.check_size()
 
     def feed_eof(self) -> None:
         """Complete a response that has no framing, as the endpoint has stopped sending."""
-        if self.headers_complete and not self.has_framing:
+        if self.state is BODY and not self.has_framing:
             self.on_message_complete()
 
     def check_size(self) -> None:
@@ -108,13 +127,13 @@
         Raises:
             MalformedResponseError: It is not.
         """
-        limit = MAX_RESPONSE_BYTES if self.headers_complete else MAX_HEADER_BYTES
+        limit = MAX_HEADER_BYTES if self.state is HEADERS else MAX_RESPONSE_BYTES
         if self.bytes_read > limit:
             raise MalformedResponseError(f"incomplete after {self.bytes_read} bytes, of {limit} allowed")
 
     def on_message_begin(self) -> None:
         """Reject a second response to one request."""
-        if self.is_complete:
+        if self.state is COMPLETE:
             raise MalformedResponseError("bytes behind the response")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -134,7 +153,8 @@
 
     def on_headers_complete(self) -> None:
         """Check the announced length before any of the body is read."""
-        self.headers_complete = self.parser.get_status_code() >= FIRST_FINAL_STATUS
+        if self.parser.get_status_code() >= FIRST_FINAL_STATUS:
+            self.state = BODY
         if self.content_length > MAX_BODY_BYTES:
             raise MalformedResponseError(f"Content-Length {self.content_length} exceeds {MAX_BODY_BYTES}")
 
@@ -153,7 +173,7 @@
             return
         self.outcome = self._outcome_of(status)
         self.body = b"".join(self.body_parts)
-        self.is_complete = True
+        self.state = COMPLETE
         self.is_reusable = self.has_framing and self.parser.should_keep_alive()
 
     def _outcome_of(self, status: int) -> Outcome:
