--- /dev/null
+++ b/tests/support/upstream.py
@@ -0,0 +1,64 @@
+"""What the tests of connections to endpoints share: responses, a policy, and two clients of one gateway."""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import AsyncIterator, Callable
+from dataclasses import dataclass
+from typing import Any
+
+from gateway.policy.actions import Action, Fail, StartAttempt
+from gateway.policy.events import AttemptFinished, Outcome, Request
+from tests.support.fake_server import FakeServer, Handler
+from tests.support.gateway import running_gateway
+from tests.support.http_client import HttpClient
+from tests.support.http_messages import Message, http_response, read_message
+from tests.support.scripted_policy import FIRST, ScriptedPolicy
+
+
+def echo_request_id(message: Message) -> bytes:
+    """Respond with the request's id as body."""
+    return http_response(body=message.headers["request-id"].encode())
+
+
+def one_at_a_time() -> Callable[[Any], list[Action]]:
+    """Return a policy that starts the next attempt once the last one has finished."""
+    waiting: list[int] = []
+
+    def react(event: Any) -> list[Action]:
+        if isinstance(event, Request):
+            waiting.append(event.request_id)
+            return [StartAttempt(event.request_id, FIRST, 0.0)] if len(waiting) == 1 else []
+        if isinstance(event, AttemptFinished):
+            waiting.pop(0)
+            following: list[Action] = [StartAttempt(waiting[0], FIRST, 0.0)] if waiting else []
+            return following if event.outcome is Outcome.OK else [Fail(event.request_id), *following]
+        return []
+
+    return react
+
+
+@dataclass(frozen=True)
+class TwoClients:
+    """Two clients of a gateway that has one attempt in flight at a time, and its scripted policy."""
+
+    policy: ScriptedPolicy
+    first: HttpClient
+    second: HttpClient
+
+    async def ask_both(self) -> list[Message]:
+        """Send a request of each client, with the ids `one` and `two`, and return the responses."""
+        self.first.writer.write(self.first.request(Request_Id="one"))
+        self.second.writer.write(self.second.request(Request_Id="two"))
+        return [await read_message(self.first.reader), await read_message(self.second.reader)]
+
+
+@contextlib.asynccontextmanager
+async def two_clients(endpoint: FakeServer | Handler) -> AsyncIterator[TwoClients]:
+    """Run a gateway with two clients and one endpoint."""
+    async with (
+        running_gateway(endpoint, react=one_at_a_time()) as (gateway, policy),
+        HttpClient(gateway.listener) as first,
+        HttpClient(gateway.listener) as second,
+    ):
+        yield TwoClients(policy, first, second)
