--- a/gateway/driver/policy_driver.py
+++ b/gateway/driver/policy_driver.py
@@ -36,13 +36,14 @@
         self.upstream = upstream
         self._clock = UnixClock()
         self._events = EventQueue(self._process_event)
-        self.open_requests = OpenRequests(self.deliver)
+        deliver = self._events.deliver
+        self.open_requests = OpenRequests(deliver)
         self._executor = ActionExecutor(
             upstream,
             self.open_requests,
-            RequestAttempts(upstream, self.open_requests, policy.settings.limits, self.deliver),
-            PolicyTimers(self._clock, self.deliver),
-            self.deliver,
+            RequestAttempts(upstream, self.open_requests, policy.settings.limits, deliver),
+            PolicyTimers(self._clock, deliver),
+            deliver,
         )
 
     @property
--- a/gateway/driver/request_attempts.py
+++ b/gateway/driver/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of open requests, from the policy's decision to the event that tells how each one ended."""
+"""The attempts of open requests, from the policy's decision to the event with the outcome."""
 
 from __future__ import annotations
 
--- a/gateway/frontend/client_socket.py
+++ b/gateway/frontend/client_socket.py
@@ -85,6 +85,6 @@
             self.transport.abort()
 
     def _has_event(self, event: int) -> bool:
-        if not self.is_open:
+        if self.transport is None or self.transport.is_closing():
             return False
         return any(found & event for _, found in self._poll.poll(0))
--- a/gateway/frontend/request_budget.py
+++ b/gateway/frontend/request_budget.py
@@ -74,7 +74,8 @@
 
     def release(self) -> None:
         """Release all bytes."""
-        self._budget.release_bytes(self.hand_over())
+        if self._size:
+            self._budget.release_bytes(self.hand_over())
 
 
 class RequestReservation:
@@ -83,10 +84,10 @@
     __slots__ = ("_body_size", "_budget", "_request_id")
 
     def __init__(self, budget: RequestBudget, request_id: bytes, body: BodyReservation) -> None:
-        """Reserve the id and take the bytes of the body over.
+        """Reserve the id, and hold the bytes of the body from now on.
 
         Raises:
-            DuplicateRequestIdError: A request with this id is open; the bytes are not taken over.
+            DuplicateRequestIdError: A request with this id is open; the bytes stay with the body.
         """
         budget.reserve_request_id(request_id)
         self._budget = budget
@@ -94,7 +95,7 @@
         self._body_size = body.hand_over()
 
     def release(self) -> None:
-        """Release the id and the bytes."""
-        self._budget.release_bytes(self._body_size)
-        self._body_size = 0
+        """Release the id and the bytes; the driver calls this once."""
+        if self._body_size:
+            self._budget.release_bytes(self._body_size)
         self._budget.release_request_id(self._request_id)
--- a/gateway/log_setup.py
+++ b/gateway/log_setup.py
@@ -11,15 +11,15 @@
 
 
 class LogRateLimit(logging.Filter):
-    """Drops the log records of a second beyond the first ``MAX_RECORDS_PER_SECOND``."""
+    """Drops the log records of each second beyond the first ``MAX_RECORDS_PER_SECOND``."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._second = 0  # the second of the clock that is being counted
+        self._second = 0  # the second of the monotonic clock whose records are counted
         self._record_count = 0
 
     def filter(self, _record: logging.LogRecord) -> bool:
-        """Whether the record is within the limit of its second."""
+        """Return whether the record is within the limit of its second."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
@@ -29,7 +29,7 @@
 
 
 def configure_logging(stream: TextIO) -> None:
-    """Send the log records of all modules to ``stream``, from level INFO and rate limited."""
+    """Write the log records of all modules, from level INFO on and within the rate limit, to a stream."""
     logging.basicConfig(stream=stream, level=logging.INFO, format=LOG_FORMAT)
     for handler in logging.getLogger().handlers:
         handler.addFilter(LogRateLimit())
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -124,5 +124,5 @@
 
 
 def _log_unchanged(error: ConfigError) -> None:
-    """Log in one line why a configuration is not taken over."""
+    """Log in one line why the configuration stays as it is."""
     log.error("configuration unchanged: %s", " ".join(str(error).split()))
--- /dev/null
+++ b/tests/frontend/test_request_budget.py
@@ -0,0 +1,49 @@
+"""What is held for requests: bytes of bodies and open request ids."""
+
+from __future__ import annotations
+
+import pytest
+
+from gateway.frontend.errors import DuplicateRequestIdError, UnavailableError
+from gateway.frontend.request_budget import BodyReservation, RequestBudget, RequestReservation
+
+MAX_BUFFERED_BYTES = 100
+
+
+@pytest.fixture
+def budget() -> RequestBudget:
+    return RequestBudget(MAX_BUFFERED_BYTES)
+
+
+# Guards against bytes that are counted for ever: a body that exceeds the bound is counted until its release.
+def test_a_body_beyond_the_bound_is_an_error_and_is_released_with_the_rest(budget: RequestBudget) -> None:
+    body = BodyReservation(budget)
+    body.grow(MAX_BUFFERED_BYTES)
+    with pytest.raises(UnavailableError):
+        body.grow(1)
+    assert budget.buffered_bytes == MAX_BUFFERED_BYTES + 1
+    body.release()
+    assert budget.buffered_bytes == 0
+
+
+# Guards against bytes that are released twice, by the connection and by the request.
+def test_a_request_holds_the_bytes_of_its_body_until_it_is_released(budget: RequestBudget) -> None:
+    body = BodyReservation(budget)
+    body.grow(10)
+    request = RequestReservation(budget, b"one", body)
+    body.release()
+    assert budget.buffered_bytes == 10
+    assert budget.open_request_ids == {b"one"}
+    request.release()
+    assert budget.buffered_bytes == 0
+    assert not budget.open_request_ids
+
+
+def test_the_body_of_a_duplicate_request_stays_with_its_connection(budget: RequestBudget) -> None:
+    RequestReservation(budget, b"one", BodyReservation(budget))
+    body = BodyReservation(budget)
+    body.grow(10)
+    with pytest.raises(DuplicateRequestIdError):
+        RequestReservation(budget, b"one", body)
+    body.release()
+    assert budget.buffered_bytes == 0
--- a/tests/support/fake_counter.py
+++ b/tests/support/fake_counter.py
@@ -30,7 +30,7 @@
             writer.write(total if replacement is None else replacement)
 
     def add(self, call: list[bytes]) -> bytes:
-        """Add to a total, and return the reply that tells it."""
+        """Add to a total, and return the reply with it."""
         _command, name, amount, *_ = call
         self.totals[name] = self.totals.get(name, 0.0) + float(amount)
         total = f"{self.totals[name]:g}".encode()
