--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -26,8 +26,8 @@
 def set_usual_latency(process: GatewayProcess, class_index: int, seconds: float) -> None:
     """Let the policy take a latency for the usual one."""
     limiter = process.driver.policy.concurrency_limiter
-    limiter.class_latency[class_index] = seconds
-    limiter.mean_latency = seconds
+    limiter.class_latency[class_index].reset(seconds)
+    limiter.latency.reset(seconds)
 
 
 @async_test
