--- a/gateway/driver/open_request.py
+++ b/gateway/driver/open_request.py
@@ -30,7 +30,7 @@
 
 
 class RequestOwner(Protocol):
-    """The frontend's side of a request.  The driver calls all methods; the owner calls none of them."""
+    """The frontend's side of a request.  The driver calls all methods; each says when."""
 
     def build_event(self, request_id: int) -> Request:
         """Return the policy's event for the request.  Called once, as the request is opened."""
--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -50,7 +50,8 @@
     It is in at most one of its owner's queues, by what it waits for; while a response is owed, in none.
 
     The event loop calls the methods of ``asyncio.Protocol``, the reader those of ``RequestHandler``, and the
-    exchanges ``flush``.  The owner calls ``enqueue``, ``reject`` and ``abort``.
+    exchanges ``flush``.  The owner calls ``enqueue``, ``reject`` and ``abort``, and ``eof_received`` for a
+    client that has disconnected while it is not read.
 
     Attributes:
         socket: The socket of the client.
@@ -77,7 +78,10 @@
             queue.add(self)
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes wait to be read: a connection must not be closed on a request that has come."""
+        """Return whether bytes wait to be read.
+
+        A connection must not be closed on a request that has arrived.
+        """
         return not self.reader.is_closed and self.socket.has_unread_bytes()
 
     # --- called by the event loop ------------------------------------------------------------------
@@ -97,7 +101,7 @@
         self._disconnect_pending()
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; what is invalid gets an error response.
+        """Read requests; invalid bytes get an error response.
 
         Bytes behind an invalid request are read and discarded, as a reset on unread bytes could overtake the
         response, but at a bounded pace.
@@ -112,22 +116,22 @@
             asyncio.get_running_loop().call_later(DISCARD_PAUSE_SECONDS, self.resume_writing)
 
     def eof_received(self) -> None:
-        """The client has ended its sending, which is how a client disconnects.
+        """Disconnect the client, which has ended its sending.
 
-        The transport closes only once all that was written has left, and until then reports nothing more.
+        The transport closes only once all written bytes are sent, and reports nothing more until then.
         """
         self.reader.close()
         self._disconnect_pending()
         self.enqueue(self._owner.half_closed)  # it has as long to read as behind any last response
 
     def pause_writing(self) -> None:
-        """Read no further requests until the client reads its responses: they must not pile up here."""
+        """Read no further requests until the client reads its responses, which must not pile up here."""
         if self.socket.is_attached:
             self.socket.pause_reading()
             self._owner.mark_write_blocked(self)
 
     def resume_writing(self) -> None:
-        """Read on."""
+        """Read requests again."""
         self._owner.unmark_write_blocked(self)
         self.socket.resume_reading()
 
@@ -139,12 +143,12 @@
             self.enqueue(self._owner.receiving)
 
     def continue_expected(self) -> None:
-        """Tell the client to send the body, unless a response is owed before."""
+        """Send the 100 response that the client waits for, unless another response is owed before."""
         if not self.pending:
             self.socket.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def body_received(self, size: int) -> None:
-        """Count part of a body among all that are buffered."""
+        """Count a part of a body among all bytes that are buffered."""
         self._body.grow(size)
 
     def request_received(self, request: ReceivedRequest) -> None:
@@ -164,7 +168,7 @@
     # --- responses ---------------------------------------------------------------------------------
 
     def reject(self, error: FrontendError) -> None:
-        """Answer what cannot be read as a request, behind the responses still owed, and close."""
+        """Send an error response, behind the responses that are still owed, and close the connection."""
         if self.reader.is_closed:
             return
         self.reader.close()
@@ -196,7 +200,7 @@
         self.socket.abort()
 
     def _end_sending(self) -> None:
-        """End sending; read on for a moment, as a reset on unread bytes could overtake the response."""
+        """End sending, but go on reading: a reset on unread bytes could overtake the response."""
         self.reader.close()
         if self.socket.is_attached:
             self.socket.write_eof()
@@ -204,7 +208,7 @@
             self._disconnect_pending()  # those that were pipelined behind the last one
 
     def _disconnect_pending(self) -> None:
-        """Tell the driver that the client has gone, for each response that is still owed."""
+        """Tell the driver for each response that is still owed that the client has disconnected."""
         pending = self.pending
         self.pending = deque()
         for exchange in pending:
--- a/gateway/frontend/client_socket.py
+++ b/gateway/frontend/client_socket.py
@@ -47,11 +47,11 @@
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes of the client wait to be read."""
+        """Return whether bytes of the client wait to be read."""
         return self._has_event(select.POLLIN)
 
     def has_peer_closed(self) -> bool:
-        """Whether the client has ended its sending."""
+        """Return whether the client has ended its sending."""
         return self._has_event(select.POLLRDHUP)
 
     def write(self, data: bytes) -> None:
--- a/gateway/frontend/connection_table.py
+++ b/gateway/frontend/connection_table.py
@@ -168,14 +168,14 @@
                 client.socket.close()
 
     def has_incoming_requests(self) -> bool:
-        """Whether part of a request has come, or bytes that are not read yet."""
+        """Return whether part of a request has come, or bytes that are not read yet."""
         queues = (self.receiving, self.new_connections, self.idle_connections)
         return any(
             client.reader.is_receiving or client.has_unread_bytes() for queue in queues for client in queue
         )
 
     def has_unsent_responses(self) -> bool:
-        """Whether part of a response is still unsent in this process."""
+        """Return whether part of a response is still unsent in this process."""
         return any(client.socket.unsent_bytes for client in self.connections)
 
     def reject_incomplete_requests(self) -> None:
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -56,7 +56,7 @@
         return ClientConnection(self.connection_table, self._dispatcher)
 
     def is_ready(self) -> bool:
-        """Whether this process serves, and has an endpoint to send requests to."""
+        """Return whether this process serves, and has an endpoint to send requests to."""
         return not self.connection_table.is_stopping and bool(self._driver.upstream.pools)
 
     def stop_listening(self) -> None:
--- a/gateway/frontend/request_reader.py
+++ b/gateway/frontend/request_reader.py
@@ -149,7 +149,7 @@
         self.state = CLOSED
 
     def discard(self, size: int) -> bool:
-        """Count bytes that were read after `close`.
+        """Count bytes that are read after `close`.
 
         Returns:
             Whether they exceed the limit, so that reading has to pause; the count then starts anew.
