--- a/gateway/frontend/client_socket.py
+++ b/gateway/frontend/client_socket.py
@@ -47,11 +47,11 @@
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes of the client wait to be read."""
+        """Return whether bytes of the client wait to be read."""
         return self._has_event(select.POLLIN)
 
     def has_peer_closed(self) -> bool:
-        """Whether the client has ended its sending."""
+        """Return whether the client has ended its sending."""
         return self._has_event(select.POLLRDHUP)
 
     def write(self, data: bytes) -> None:
@@ -85,6 +85,6 @@
             self.transport.abort()
 
     def _has_event(self, event: int) -> bool:
-        if not self.is_open:
+        if self.transport is None or self.transport.is_closing():
             return False
         return any(found & event for _, found in self._poll.poll(0))
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -4,17 +4,21 @@
 
 import asyncio
 import contextlib
-from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from gateway.address import Address, parse_address
 from gateway.counter.client import CounterClient
 from gateway.counter.connection import ConnectionState, CounterConnection
 from gateway.policy.actions import AddToCounter
-from gateway.policy.events import CounterReply, Outcome
 from tests.support.event_loop import until
 from tests.support.fake_server import Handler, listening
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from gateway.policy.events import CounterReply, Outcome
+
 SHORT_TIMEOUT_SECONDS = 0.08  # of a call that is to be answered at once, or not at all
 LONG_TIMEOUT_SECONDS = 5.0  # of a call that ends for another reason
 
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -6,20 +6,23 @@
 import contextlib
 import enum
 import json
-from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.address import Address, parse_address
 from gateway.discovery import connection_set
 from gateway.discovery.client import DiscoveryClient
 from gateway.discovery.endpoint_decoder import EndpointDecoder
-from gateway.policy.events import EndpointUpdate
 from tests.support.event_loop import until
 from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
 from tests.support.fake_server import Handler, listening
 from tests.support.http_messages import http_response
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Callable
+
+    from gateway.policy.events import EndpointUpdate
+
 FIRST_VERSION = 41  # of the list that a fake agent has at the start
 CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BLANK_CHUNK = b"1\r\n \r\n"
