--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -1,5 +1,7 @@
 """What the parts of one policy share: settings, time, random numbers, emitted actions, common constants."""
 
+from __future__ import annotations
+
 import random
 from hashlib import blake2b
 
@@ -16,15 +18,30 @@
 
 
 class Context:
-    """The state that the engine builds once and hands to every part."""
+    """What the engine builds once and hands to every part.
+
+    Attributes:
+        settings: Settings of the deployment.
+        random: Generator of all random numbers of this policy.
+        gateway_count: Gateways of the fleet, at least 1.
+        now: Unix time of the event that is being handled, in seconds.
+        actions: Actions emitted for that event so far, in order.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.random = settings, random.Random(seed)
+        self.settings = settings
+        self.random = random.Random(seed)
         self.gateway_count = max(1, settings.gateway_count)
-        self.now = 0.0  # Unix time of the event being handled, in seconds
-        self.actions: list[Action] = []  # emitted for that event so far
+        self.now = 0.0
+        self.actions: list[Action] = []
+
+    def begin_event(self, now: float) -> None:
+        """Begin to collect the actions of an event that comes at a Unix time in seconds."""
+        self.now = now
+        self.actions = []
 
 
 def stable_hash(*parts: int) -> int:
-    """A 64-bit hash that is the same at every gateway."""
-    return int.from_bytes(blake2b(repr(parts).encode(), digest_size=8).digest(), "little")
+    """Return a 64-bit hash that is the same at every gateway."""
+    digest = blake2b(repr(parts).encode(), digest_size=8).digest()
+    return int.from_bytes(digest, "little")
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -3,14 +3,13 @@
 Why a request was rejected: admission.py.  Where it was sent, and sent again: load_balancer.py, retries.py.
 """
 
-import math
-
-import gateway.policy.events as events
+from gateway.policy import events
 from gateway.policy.actions import Action, Fail, Reject, SetTimer, StartAttempt
 from gateway.policy.admission import Admission
 from gateway.policy.concurrency_limiter import MAX_LATE_RATIO, ConcurrencyLimiter
-from gateway.policy.context import DEADLINE_MARGIN_SECONDS, EPSILON, TICK_SECONDS, Context
+from gateway.policy.context import DEADLINE_MARGIN_SECONDS, TICK_SECONDS, Context
 from gateway.policy.counter_rate_limiter import CounterRateLimiter
+from gateway.policy.dispatch_queue import DispatchQueue
 from gateway.policy.endpoints import Endpoint, EndpointTable
 from gateway.policy.lease_table import LeaseTable
 from gateway.policy.load_balancer import LoadBalancer
@@ -18,17 +17,26 @@
 from gateway.policy.retries import Retries
 from gateway.policy.settings import Settings
 from gateway.policy.slow_start import SlowStart
+from gateway.policy.tick_timer import WATCH_SECONDS, TickTimer
 
-WATCH_TICKS = 2  # ticks between timers while all requests have attempts in flight, and between reclaims
+TIMER_TOKEN = 1  # the policy has one timer
 MAX_UNSENT = 3  # queued requests that find no endpoint, after which the rest stays queued
+MIN_TIME_REMAINING_SECONDS = DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS  # of a request that may be served
 
 
 class Policy:
-    """Decides for one gateway; `handle` is the only way in."""
+    """Decides for one gateway; `handle` is the only way in.
+
+    Attributes:
+        pending: Requests that are not answered or have attempts in flight, by request id.
+        queue: Admitted requests that wait for an endpoint with capacity.
+        requests_in_flight: Pending requests that have attempts in flight.
+        timer: The timer that is set.
+        reclaim_at: Unix time from which idle credits are reclaimed again, in seconds.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.context = settings, (context := Context(settings, seed))
-        self.actions: list[Action] = []  # of the last event, as far as it was handled
+        self.context = context = Context(settings, seed)
         self.counter_rate_limiter = rate_limiter = CounterRateLimiter(context)
         self.slow_start = SlowStart(context)
         self.endpoints = endpoints = EndpointTable(context, self.slow_start)
@@ -38,21 +46,31 @@
         self.admission = Admission(context, self.leases, rate_limiter, limiter, self._dispatch, self._reject)
         self.retries = Retries(context, endpoints, limiter, self.load_balancer)
         self.pending: dict[int, PendingRequest] = {}
-        self.queue: list[PendingRequest] = []  # admitted, without an endpoint that has capacity
-        self.requests_in_flight, self.timer_at, self.reclaim_at = 0, -math.inf, 0.0
+        self.queue = DispatchQueue()
+        self.requests_in_flight = 0
+        self.timer = TickTimer()
+        self.reclaim_at = 0.0
+
+    @property
+    def settings(self) -> Settings:
+        """The settings of the deployment."""
+        return self.context.settings
+
+    @property
+    def actions(self) -> list[Action]:
+        """The actions that answer the last event, as far as it was handled."""
+        return self.context.actions
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
-        """The actions that answer one event, in order; `now` in seconds of Unix time."""
-        self.actions = []
-        self.context.now, self.context.actions = now, self.actions
+        """Return the actions that answer one event, in order; `now` is Unix time in seconds."""
+        self.context.begin_event(now)
         match event:
             case events.Request():
                 self._on_request(event)
             case events.AttemptFinished():
                 self._on_attempt_finished(event)
-            case events.ProbeFinished() if event.endpoint_id in self.endpoints.by_id:
-                endpoint = self.endpoints.by_id[event.endpoint_id]
-                self.concurrency_limiter.record_load_report(endpoint.load_report, event.load_report)
+            case events.ProbeFinished():
+                self._on_probe_finished(event)
             case events.CounterReply():
                 self.admission.handle_counter_reply(event)
             case events.TimerFired():
@@ -60,88 +78,123 @@
             case events.EndpointUpdate():
                 self.endpoints.apply_update(event, self.concurrency_limiter.mean_latency)
                 self._dispatch_queued()
-            case events.ClientDisconnected() if event.request_id in self.pending:
-                self.admission.stop_waiting(self.pending[event.request_id])
-                self._close(self.pending[event.request_id])
+            case events.ClientDisconnected():
+                self._on_client_disconnected(event)
         self._set_timer()
         return self.actions
 
     def _on_request(self, request: events.Request) -> None:
-        plan, now = self.settings.plans[request.plan_index], self.context.now
-        request_class, deadline = self.settings.classes[request.class_index], now + request.time_remaining
-        pending = PendingRequest(request, request_class, plan, now, deadline)
+        now = self.context.now
+        pending = PendingRequest(
+            request,
+            self.settings.classes[request.class_index],
+            self.settings.plans[request.plan_index],
+            arrived_at=now,
+            deadline=now + request.time_remaining,
+        )
         self.admission.open(pending)
         self.pending[request.request_id] = pending
         self.load_balancer.probe()
-        if request.time_remaining < DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS:
-            self._reject(pending, 0.0)  # it would be over before the next tick
+        if request.time_remaining < MIN_TIME_REMAINING_SECONDS:
+            self._reject(pending, 0.0)
         else:
             self.admission.admit(pending)
 
+    def _on_probe_finished(self, event: events.ProbeFinished) -> None:
+        endpoint = self.endpoints.by_id.get(event.endpoint_id)
+        if endpoint is not None:
+            self.concurrency_limiter.record_load_report(endpoint.load_report, event.load_report)
+
+    def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
+        pending = self.pending.get(event.request_id)
+        if pending is not None:
+            self.admission.stop_waiting(pending)
+            self._close(pending)
+
+    def _on_attempt_finished(self, event: events.AttemptFinished) -> None:
+        pending = self.pending.get(event.request_id)
+        attempt = self.endpoints.finish_attempt(event.endpoint_id, (event.request_id, event.attempt))
+        if attempt is not None:
+            self.load_balancer.record_result(attempt, event, pending)
+        if pending is not None:
+            self._finish_attempt(pending, event)
+        self._dispatch_queued()
+
+    def _finish_attempt(self, pending: PendingRequest, event: events.AttemptFinished) -> None:
+        attempt = pending.finish_attempt(event.attempt, never_ran=event.outcome.never_ran)
+        if attempt is not None and not pending.in_flight:
+            self.requests_in_flight -= 1
+        answered = event.request_closed or event.outcome is events.Outcome.OK
+        if pending.closed or answered:
+            self._close(pending)
+        elif not pending.in_flight:
+            self._retry_or_give_up(pending)
+
+    def _retry_or_give_up(self, pending: PendingRequest) -> None:
+        if not self.retries.may_retry(pending):
+            self._give_up(pending)
+        elif self.concurrency_limiter.late_ratio > MAX_LATE_RATIO:
+            self.queue.add(pending)  # what an overloaded endpoint rejected waits for a tick
+        else:
+            self._dispatch(pending)
+
     def _dispatch(self, pending: PendingRequest) -> None:
         """Send an admitted request to the best endpoint, or queue it while none has capacity."""
         if pending.closed:
             return
         # Credit under a ceiling expires while queued too, or queued requests would pass the ceiling together.
-        ceiling = pending.plan.ceiling_rate and not pending.attempts_started
-        if ceiling and self.admission.drop_expired_credit(pending):
+        credit_may_expire = pending.plan.ceiling_rate != 0 and pending.attempts_started == 0
+        if credit_may_expire and self.admission.drop_expired_credit(pending):
             self.admission.admit(pending)
-        elif endpoint := self.load_balancer.choose(pending, self.retries.allowed_endpoints(pending)):
+            return
+        endpoint = self.load_balancer.choose(pending, self.retries.allowed_endpoints(pending))
+        if endpoint is not None:
             self._start_attempt(pending, endpoint)
         elif not pending.in_flight:
-            self.queue.append(pending)
+            self.queue.add(pending)
 
     def _dispatch_queued(self) -> None:
+        """Dispatch the queued requests, by priority, until a few have found no endpoint."""
         if not self.queue or not self.concurrency_limiter.has_capacity():
             return
-        queued = sorted(self.queue, key=lambda p: -p.request_class.priority_weight * p.plan.price_weight)
-        self.queue = []
-        for pending in queued:
-            (self.queue.append if len(self.queue) > MAX_UNSENT else self._dispatch)(pending)
+        for pending in self.queue.take_all():
+            if len(self.queue) > MAX_UNSENT:
+                self.queue.add(pending)
+            else:
+                self._dispatch(pending)
 
     def _start_attempt(self, pending: PendingRequest, endpoint: Endpoint) -> None:
-        request_id, number = pending.request.request_id, pending.attempts_started
-        self.requests_in_flight += not pending.in_flight
-        pending.start_attempt(self.endpoints.start_attempt(endpoint, (request_id, number)))
+        request_id = pending.request.request_id
+        number = pending.attempts_started
+        if not pending.in_flight:
+            self.requests_in_flight += 1
+        attempt = self.endpoints.start_attempt(endpoint, (request_id, number))
+        pending.start_attempt(attempt)
         self.slow_start.record_attempt(endpoint.slow_start_budget, endpoint.record.started_at)
         if number == 0:
             self.retries.record_first_attempt()
-        self.actions.append(StartAttempt(request_id, endpoint.record.endpoint_id, 0.0))
+        self.context.actions.append(StartAttempt(request_id, endpoint.record.endpoint_id, timeout=0.0))
 
-    def _on_attempt_finished(self, event: events.AttemptFinished) -> None:
-        pending = self.pending.get(event.request_id)
-        if attempt := self.endpoints.finish_attempt(event.endpoint_id, (event.request_id, event.attempt)):
-            self.load_balancer.record_result(attempt, event, pending)
-        if pending:
-            attempt = pending.finish_attempt(event.attempt, never_ran=event.outcome.never_ran)
-            self.requests_in_flight -= attempt is not None and not pending.in_flight
-            if pending.closed or event.request_closed or event.outcome is events.Outcome.OK:
-                self._close(pending)
-            elif not pending.in_flight and not self.retries.may_retry(pending):
-                self._finish(pending)
-            elif not pending.in_flight and self.concurrency_limiter.late_ratio > MAX_LATE_RATIO:
-                self.queue.append(pending)  # what an overloaded endpoint rejected waits for a tick
-            elif not pending.in_flight:
-                self._dispatch(pending)
-        self._dispatch_queued()
-
-    def _finish(self, pending: PendingRequest) -> None:
-        """Answer a request that gets no further attempt: by a rejection where a repeat does no harm."""
+    def _give_up(self, pending: PendingRequest) -> None:
+        """Answer a request that gets no further attempt: by a rejection where a retry does no harm."""
         if self.retries.is_rejection_safe(pending):
-            self._reject(pending, self.concurrency_limiter.mean_latency)  # by then about as much has ended
+            # After a mean latency, about as many attempts have ended as are in flight now.
+            self._reject(pending, self.concurrency_limiter.mean_latency)
         else:
             self._close(pending)
-            self.actions.append(Fail(pending.request.request_id))
+            self.context.actions.append(Fail(pending.request.request_id))
 
     def _reject(self, pending: PendingRequest, retry_after: float) -> None:
-        """Answer a request with a rejection that tells when to come back, also where few clients heed it."""
+        """Answer a request with a rejection that tells after how many seconds to retry."""
         self._close(pending)
         retry_after = min(max(0.0, retry_after), self.settings.limits.max_retry_after)
-        self.actions.append(Reject(pending.request.request_id, retry_after))
+        self.context.actions.append(Reject(pending.request.request_id, retry_after))
 
     def _close(self, pending: PendingRequest) -> None:
         """Start nothing more for a request; forget it once none of its attempts is in flight."""
-        if not pending.in_flight and self.pending.pop(pending.request.request_id, None) is not None:
+        request_id = pending.request.request_id
+        if not pending.in_flight and request_id in self.pending:
+            del self.pending[request_id]
             self.admission.release(pending)
         pending.close()
 
@@ -149,11 +202,31 @@
         """Set a timer only while there is something to wait for: idle gateways cost nothing."""
         if not self.pending and not self.leases.reclaimable:
             return
-        now, waiting = self.context.now, self.queue or self.requests_in_flight < len(self.pending)
-        due = now + TICK_SECONDS * (1 if waiting else WATCH_TICKS)
-        if not now + EPSILON < self.timer_at <= due:  # a driver may round a timer down a little
-            self.timer_at = due
-            self.actions.append(SetTimer(due, 1))
+        waiting = len(self.queue) > 0 or self.requests_in_flight < len(self.pending)
+        due = self.timer.schedule(self.context.now, waiting=waiting)
+        if due is not None:
+            self.context.actions.append(SetTimer(due, TIMER_TOKEN))
+
+    def _on_timer(self) -> None:
+        self._give_up_late_requests()
+        self.admission.retry_deferred_leases()
+        self.queue.drop_closed()
+        self._dispatch_queued()
+        self._replace_stalled_attempts()
+        now = self.context.now
+        if now >= self.reclaim_at:
+            self.reclaim_at = now + WATCH_SECONDS
+            self.leases.reclaim_idle_credits()
+
+    def _give_up_late_requests(self) -> None:
+        """Answer requests whose deadline is near, and those that would start behind their objective."""
+        now = self.context.now
+        mean_latency = self.concurrency_limiter.mean_latency
+        for pending in [pending for pending in self.pending.values() if not pending.in_flight]:
+            objective_at = pending.arrived_at + pending.request_class.latency_objective
+            misses_objective = pending.attempts_started == 0 and now + mean_latency > objective_at
+            if misses_objective or now > pending.deadline - DEADLINE_MARGIN_SECONDS - TICK_SECONDS:
+                self._give_up(pending)
 
     def _replace_stalled_attempts(self) -> None:
         requests = self.pending.values()
@@ -162,18 +235,3 @@
             endpoint = self.retries.replace_stalled_attempt(pending)
             if endpoint is not None:
                 self._start_attempt(pending, endpoint)
-
-    def _on_timer(self) -> None:
-        now, latency = self.context.now, self.concurrency_limiter.mean_latency
-        for pending in [p for p in self.pending.values() if not p.in_flight]:
-            objective_at = pending.arrived_at + pending.request_class.latency_objective
-            hopeless = not pending.attempts_started and now + latency > objective_at
-            if hopeless or now > pending.deadline - DEADLINE_MARGIN_SECONDS - TICK_SECONDS:
-                self._finish(pending)
-        self.admission.retry_deferred_leases()
-        self.queue = [pending for pending in self.queue if not pending.closed]
-        self._dispatch_queued()
-        self._replace_stalled_attempts()
-        if now >= self.reclaim_at:
-            self.reclaim_at = now + WATCH_TICKS * TICK_SECONDS
-            self.leases.reclaim_idle_credits()
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -20,6 +20,7 @@
 EXCLUDED_ATTEMPTS = 2  # a request's next attempt avoids the endpoints of this many before it
 FAILED_LATENCY_FACTOR = 2  # on the mean latency, which a failed attempt counts as at the least
 PROBE_POOL_SIZE = 8  # load reports kept recent where they must be asked for
+PROBE_PERIOD_SECONDS = REPORT_LIFETIME_SECONDS / PROBE_POOL_SIZE
 LOAD_COLUMNS = frozenset({"inflight", "queue", "util"})  # of a report; without one probes are of no use
 
 
@@ -147,6 +148,6 @@
         ready = self.endpoints.ready
         if not ready or now < self.next_probe_at:
             return
-        self.next_probe_at = now + REPORT_LIFETIME_SECONDS / PROBE_POOL_SIZE
+        self.next_probe_at = now + PROBE_PERIOD_SECONDS
         endpoint = self.context.random.choice(ready)
         self.context.actions.append(Probe(endpoint.record.endpoint_id))
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -38,6 +38,11 @@
     executed: list[Attempt] = field(default_factory=list)
     closed: bool = False
 
+    @property
+    def priority(self) -> float:
+        """Weight of a response by class and plan; the larger is served first."""
+        return self.request_class.priority_weight * self.plan.price_weight
+
     def start_attempt(self, attempt: Attempt) -> None:
         """Add an attempt, with the next number."""
         self.in_flight[self.attempts_started] = attempt
--- a/scaletest/membership.py
+++ b/scaletest/membership.py
@@ -138,7 +138,7 @@
         policy = hollow_gateway.make_policy(size, scenario)
         before, _ = tracemalloc.get_traced_memory()
         _take_list(policy, endpoints)
-        policy.actions = policy.context.actions = []
+        policy.context.begin_event(hollow_gateway.START)
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
