--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -1,6 +1,5 @@
 """Whether a request is admitted, waits for a lease, or is rejected: by a denied lease or the local quota."""
 
-from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
@@ -35,6 +34,7 @@
     """Takes a credit of each of a request's leases before it is dispatched.
 
     Attributes:
+        kinds_by_plan: The kinds of quota of each plan, in the order of the settings.
         tickets: What pending requests need and hold, by request id.
         deferred: Leases that have waiters, but for which no call may be made yet.
     """
@@ -54,6 +54,7 @@
         self.local = local
         self.dispatch = callbacks.dispatch
         self.reject = callbacks.reject
+        self.kinds_by_plan = [limited_kinds(plan) for plan in context.settings.plans]
         self.tickets: dict[int, AdmissionTicket] = {}
         self.deferred: dict[LeaseKey, Lease] = {}
 
@@ -67,8 +68,9 @@
 
     def open(self, pending: PendingRequest) -> None:
         """Find the leases that a new request needs a credit of."""
-        leases = [self.lease_for(pending.request, kind) for kind in limited_kinds(pending.plan)]
-        self.tickets[pending.request.request_id] = AdmissionTicket(pending, leases)
+        request = pending.request
+        leases = [self.lease_for(request, kind) for kind in self.kinds_by_plan[request.plan_index]]
+        self.tickets[request.request_id] = AdmissionTicket(pending, leases)
 
     def admit(self, pending: PendingRequest) -> None:
         """Dispatch a request that gets its credits; else it waits or is rejected."""
@@ -150,9 +152,9 @@
         """Request deferred leases, least denied first; admit locally what has waited too long."""
         by_denials = sorted(self.deferred.items(), key=lambda item: item[1].grants.consecutive_denials)
         for key, lease in by_denials:
-            patient = deque(pending for pending in lease.waiters if self.may_wait_for_lease(pending))
-            waiters = lease.replace_waiters(patient)
-            overdue = [pending for pending in waiters if not self.may_wait_for_lease(pending)]
+            overdue = [pending for pending in lease.waiters if not self.may_wait_for_lease(pending)]
+            for pending in overdue:
+                lease.remove_waiter(pending)
             self._admit_locally(lease, overdue)
             if not lease.waiters or lease.request.in_flight:
                 self.deferred.pop(key, None)
--- a/gateway/policy/admission_ticket.py
+++ b/gateway/policy/admission_ticket.py
@@ -24,7 +24,7 @@
 
     def hold_credit(self, lease: Lease) -> None:
         """Record that the request has taken a credit of a lease in its present refill time."""
-        self.credits_held[lease] = lease.usage.refill_index
+        self.credits_held[lease] = lease.clock.refill_index
 
     def drop_credit(self, lease: Lease) -> None:
         """Record that the request no longer holds its credit of a lease."""
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -8,6 +8,7 @@
 from gateway.policy.counter_ledger import CounterLedger, Denial
 from gateway.policy.events import Outcome
 from gateway.policy.grant_history import GrantHistory
+from gateway.policy.lease_clock import LeaseClock
 from gateway.policy.lease_request import LeaseRequest
 from gateway.policy.lease_sizing import BatchSizer
 from gateway.policy.lease_usage import LeaseUsage
@@ -24,6 +25,7 @@
         quota: The quota.
         ledger: What the counter has of it.
         sizer: How many units to request at once.
+        clock: Which refill time the lease is in.
         request: The last request for units.
         grants: How the requests have fared.
         usage: How much the lease is used.
@@ -37,6 +39,7 @@
     quota: Quota
     ledger: CounterLedger
     sizer: BatchSizer
+    clock: LeaseClock = field(default_factory=LeaseClock)
     request: LeaseRequest = field(default_factory=LeaseRequest)
     grants: GrantHistory = field(default_factory=GrantHistory)
     usage: LeaseUsage = field(default_factory=LeaseUsage)
@@ -53,14 +56,19 @@
 
     def roll_window(self, now: float) -> None:
         """Expire credits at the window's edge; adapt the batch size after each refill time."""
-        refill_index = self.quota.refill_index(now)
-        if refill_index != self.usage.refill_index:
-            if self.usage.refill_index >= 0:
+        clock = self.clock
+        if clock.checked_at <= now < clock.unchanged_until:
+            return
+        quota = self.quota
+        refill_index = quota.refill_index(now)
+        if refill_index != clock.refill_index:
+            if clock.refill_index >= 0:
                 self.update_batch_size(now)
-            self.usage.start_refill_time(refill_index)
-        window_index = self.quota.window_index(now)
+            self.usage.start_refill_time()
+        window_index = quota.window_index(now)
         if window_index != self.ledger.window_index:
             self._open_window(window_index)
+        clock.advance(now, refill_index, quota.next_edge(window_index, refill_index))
 
     def _open_window(self, window_index: int) -> None:
         self.ledger.open_window(window_index, self.credits, self.usage.slots_in_use)
@@ -138,12 +146,8 @@
         if pending in self.waiters:
             self.waiters.remove(pending)
 
-    def replace_waiters(self, waiters: deque[PendingRequest]) -> deque[PendingRequest]:
-        """Let others wait in place of the present waiters, and return these."""
-        replaced = self.waiters
-        self.waiters = waiters
-        return replaced
-
     def take_waiters(self) -> deque[PendingRequest]:
         """Return all waiters, which then wait no more."""
-        return self.replace_waiters(deque())
+        waiters = self.waiters
+        self.waiters = deque()
+        return waiters
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -61,7 +61,7 @@
         """Drop a request's credit if it has expired with its refill time; return whether it had."""
         for lease in ticket.leases:
             lease.roll_window(self.context.now)
-            if lease.quota.has_credit_expired(ticket.credits_held[lease], lease.usage.refill_index):
+            if lease.quota.has_credit_expired(ticket.credits_held[lease], lease.clock.refill_index):
                 lease.release(0.0)
                 ticket.drop_credit(lease)
                 return True
--- a/gateway/policy/lease_usage.py
+++ b/gateway/policy/lease_usage.py
@@ -10,14 +10,12 @@
     """The use of one lease.
 
     Attributes:
-        refill_index: Number of the present refill time; -1 before the first one.
-        served_units: Units that were spent in it.
+        served_units: Units that were spent in the present refill time.
         slots_in_use: Requests in progress that hold a credit.
         last_used_at: Unix time of the last request, in seconds.
         is_frequent: Whether the last two requests came within a refill time.
     """
 
-    refill_index: int = -1
     served_units: float = 0.0
     slots_in_use: int = 0
     last_used_at: float = 0.0
@@ -37,9 +35,8 @@
         """Count a credit that a request no longer holds."""
         self.slots_in_use -= 1
 
-    def start_refill_time(self, refill_index: int) -> None:
+    def start_refill_time(self) -> None:
         """Count the units of a new refill time."""
-        self.refill_index = refill_index
         self.served_units = 0.0
 
     def postpone_expiry(self, now: float) -> None:
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -94,6 +94,12 @@
         """Return the number of the refill time at a Unix time."""
         return math.floor((now + self.phase) / self.refill_time)
 
+    def next_edge(self, window_index: int, refill_index: int) -> float:
+        """Return the Unix time, but for rounding, at which the window or the refill time ends first."""
+        window_end = (window_index + 1) * self.window_length
+        refill_end = (refill_index + 1) * self.refill_time
+        return min(window_end, refill_end) - self.phase
+
     def counter_name(self, window_index: int) -> int:
         """Return the name under which the counter keeps the total of a window."""
         return stable_hash(self.key.customer, window_index, self.counts_slots)
