--- a/gateway/settings_parser.py
+++ b/gateway/settings_parser.py
@@ -6,7 +6,7 @@
 from gateway.policy.settings import DedupScope, Effect, Limits, Plan, RequestClass, Rules, Settings
 from gateway.settings_reader import SettingsReader
 
-SILENT = "silent"  # the report mode and the weight source of a site without load reports
+SILENT = "silent"  # default of the report mode and of the weight source
 
 
 def parse_settings(text: str) -> Settings:
