--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -161,24 +161,21 @@
             self._owner.start_task(self._attempt_connection())
 
     async def _attempt_connection(self) -> None:
+        """Connect; if that fails, fail the queued calls and connect again after the backoff."""
         host = self.address.host
         port = self.address.port
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 await self._owner.loop.create_connection(lambda: self, host, port)
         except (OSError, TimeoutError):
-            self._connection_failed()
+            if self.state is ConnectionState.CONNECTING:  # it may have opened just as the attempt timed out
+                self._enter(ConnectionState.DISCONNECTED)
+            self.calls.fail_queued()
+            self._owner.loop.call_later(self._backoff.seconds, self.connect)
+            self._backoff.lengthen()
         finally:
             self._owner.connection_attempted()
 
-    def _connection_failed(self) -> None:
-        """Fail the queued calls, and connect again after the backoff."""
-        if self.state is ConnectionState.CONNECTING:  # it may have opened just as the attempt timed out
-            self._enter(ConnectionState.DISCONNECTED)
-        self.calls.fail_queued()
-        self._owner.loop.call_later(self._backoff.seconds, self.connect)
-        self._backoff.lengthen()
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Replace the connection that this one is for, and write what is queued."""
         transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
