--- a/gateway/driver/action_executor.py
+++ b/gateway/driver/action_executor.py
@@ -4,11 +4,10 @@
 
 import logging
 from collections.abc import Callable
-from http import HTTPStatus
 from typing import Any
 
 from gateway.counter.client import CounterClient
-from gateway.driver.open_request import Response
+from gateway.driver.open_request import FAILED, REJECTED, Response
 from gateway.driver.open_requests import OpenRequests
 from gateway.driver.request_attempts import RequestAttempts
 from gateway.driver.timers import PolicyTimers
@@ -80,11 +79,11 @@
                 self._open_requests.respond_after_error(action.request_id)
 
     def _reject(self, action: Reject) -> None:
-        rejection = Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=action.retry_after)
+        rejection = Response(REJECTED, retry_after=action.retry_after)
         self._open_requests.finish(action.request_id, rejection)
 
     def _fail(self, action: Fail) -> None:
-        self._open_requests.finish(action.request_id, Response(HTTPStatus.BAD_GATEWAY))
+        self._open_requests.finish(action.request_id, Response(FAILED))
 
     def _add_to_counter(self, action: AddToCounter) -> None:
         if self.counter is None:
--- a/gateway/driver/open_request.py
+++ b/gateway/driver/open_request.py
@@ -5,19 +5,27 @@
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Protocol
 
 from gateway.policy.events import Outcome, Request
 from gateway.policy.settings import Limits
 from gateway.upstream.attempt import Attempt
 
+# The statuses of responses.  Looked up once: access to a member through its class takes a Python call in
+# Python 3.11.
+SERVED = HTTPStatus.OK.value
+REJECTED = HTTPStatus.SERVICE_UNAVAILABLE.value
+FAILED = HTTPStatus.BAD_GATEWAY.value
+TIMED_OUT = HTTPStatus.GATEWAY_TIMEOUT.value
+
 
 @dataclass(slots=True)
 class Response:
     """A final response to a client.
 
     Attributes:
-        status: HTTP status: 200 serves the request, 503 rejects it, any other fails it.
+        status: HTTP status: ``SERVED`` serves the request, ``REJECTED`` rejects it, any other fails it.
         body: Body as the endpoint sent it.
         content_type: Value of the Content-Type header; empty without one.
         retry_after: Seconds after which the client may retry; 0 leaves the header out.
--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -4,9 +4,8 @@
 
 import time
 from collections.abc import Callable
-from http import HTTPStatus
 
-from gateway.driver.open_request import OpenRequest, RequestOwner, Response
+from gateway.driver.open_request import FAILED, REJECTED, TIMED_OUT, OpenRequest, RequestOwner, Response
 from gateway.policy.events import ClientDisconnected, Event, Outcome
 
 RESPONSE_MARGIN_SECONDS = (
@@ -75,7 +74,7 @@
         request = self.get(request_id)
         if request is None or request.is_closed or request.attempts:
             return
-        status = HTTPStatus.BAD_GATEWAY if request.may_have_run else HTTPStatus.SERVICE_UNAVAILABLE
+        status = FAILED if request.may_have_run else REJECTED
         request.respond(Response(status))
         self._deliver(ClientDisconnected(request_id))
         self.release_if_done(request)
@@ -97,6 +96,6 @@
         request.abandon_attempts(Outcome.TIMEOUT)
         if request.is_closed:  # an attempt that never ran ends at once, and the policy may have responded
             return
-        request.respond(Response(HTTPStatus.GATEWAY_TIMEOUT))
+        request.respond(Response(TIMED_OUT))
         self._deliver(ClientDisconnected(request.request_id))
         self.release_if_done(request)
--- a/gateway/driver/request_attempts.py
+++ b/gateway/driver/request_attempts.py
@@ -4,9 +4,8 @@
 
 import time
 from collections.abc import Callable
-from http import HTTPStatus
 
-from gateway.driver.open_request import OpenRequest, Response
+from gateway.driver.open_request import SERVED, OpenRequest, Response
 from gateway.driver.open_requests import OpenRequests
 from gateway.policy.actions import Cancel, StartAttempt
 from gateway.policy.events import AttemptFinished, Event, Outcome
@@ -82,7 +81,7 @@
     ) -> None:
         request.attempt_finished(number, result.outcome)
         if result.outcome is Outcome.OK and not request.is_closed:
-            request.respond(Response(HTTPStatus.OK, result.body, result.content_type))
+            request.respond(Response(SERVED, result.body, result.content_type))
         was_closed = request.is_closed
         self._deliver(
             AttemptFinished(
--- a/gateway/frontend/request_dispatcher.py
+++ b/gateway/frontend/request_dispatcher.py
@@ -4,9 +4,8 @@
 
 import logging
 from collections.abc import Callable
-from http import HTTPStatus
 
-from gateway.driver.open_request import Response
+from gateway.driver.open_request import FAILED, REJECTED, SERVED, Response
 from gateway.driver.policy_driver import PolicyDriver
 from gateway.frontend.errors import FrontendError, UnavailableError
 from gateway.frontend.exchange import Exchange
@@ -60,12 +59,12 @@
         except Exception:
             log.exception("a request could not be handled")
             if exchange.response is None:
-                exchange.reply(Response(HTTPStatus.BAD_GATEWAY))
+                exchange.reply(Response(FAILED))
 
     def _dispatch(self, exchange: Exchange, request: ReceivedRequest, body: BodyReservation) -> None:
         if request.target == READY_TARGET:
-            is_ready = self._is_ready()
-            exchange.reply(Response(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE))
+            status = SERVED if self._is_ready() else REJECTED
+            exchange.reply(Response(status))
             return
         if self._has_too_many_connections():
             rejection = Response(UnavailableError.status, retry_after=UnavailableError.retry_after)
