--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -8,63 +8,55 @@
 from collections.abc import AsyncIterator
 
 from gateway.process import GatewayProcess
-from tests.process.services import publish
+from tests.support.discovery import GatedAgent, update_json
 from tests.support.event_loop import async_test, until
-from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_discovery import host_line
 from tests.support.fake_server import listening
 from tests.support.gateway import make_config
 
-CACHED_ENDPOINT = 1
-LISTED_ENDPOINT = 2
+CACHED_ENDPOINT = host_line("s-00000001", "127.0.0.1:1")
+CACHED_ENDPOINT_ID = 1
+PRESENT_ENDPOINT = host_line("s-00000002", "127.0.0.1:2")
+PRESENT_ENDPOINT_ID = 2
 MAX_START_SECONDS = 10
 
 
-class LateAgent(FakeDiscoveryAgent):
-    """An agent that lists one endpoint, but answers only once it is released."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.release = asyncio.Event()
-        publish(self, 42, [host_line("s-00000002", "127.0.0.1:2")])
-
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a connection."""
-        await self.release.wait()
-        await super().handle(reader, writer)
+def gated_agent() -> GatedAgent:
+    """Return an agent that has another endpoint than the cached list."""
+    return GatedAgent(update_json(42, PRESENT_ENDPOINT, complete=True))
 
 
 @contextlib.asynccontextmanager
-async def process_with_cached_endpoint(agent: LateAgent) -> AsyncIterator[GatewayProcess]:
-    """A process that is not started, with one cached endpoint."""
-    async with listening(agent.handle) as address:
-        process = GatewayProcess(make_config([host_line("s-00000001", "127.0.0.1:1")], discovery=address))
-        yield process
-        await process.close()
+async def gateway_with_cached_list(agent: GatedAgent, list_timeout: float) -> AsyncIterator[GatewayProcess]:
+    """Yield a gateway that is not started yet; its start waits this many seconds for the agent's list."""
+    async with listening(agent.handle) as discovery:
+        gateway = GatewayProcess(make_config([CACHED_ENDPOINT], discovery=discovery))
+        gateway.endpoint_list_timeout = list_timeout
+        yield gateway
+        await gateway.close()
 
 
 # Guards against requests that are sent by the endpoint list of an earlier process: the list that discovery
 # has counts from the first request on.
 @async_test
 async def test_the_start_waits_for_the_endpoint_list() -> None:
-    agent = LateAgent()
-    started_at = time.monotonic()
-    async with process_with_cached_endpoint(agent) as process:
-        process.endpoint_list_timeout = 15.0
-        start = asyncio.create_task(process.start())
-        await until(lambda: process.discovery.agent_watches[0].connections)
+    began_at = time.monotonic()
+    agent = gated_agent()
+    async with gateway_with_cached_list(agent, list_timeout=15.0) as gateway:
+        start = asyncio.create_task(gateway.start())
+        await until(lambda: gateway.discovery.agent_watches[0].connections)
         assert not start.done()
-        agent.release.set()
+        agent.may_serve.set()
         await start
-        assert list(process.driver.upstream.pools) == [LISTED_ENDPOINT]
-        assert time.monotonic() - started_at < MAX_START_SECONDS
+        assert list(gateway.driver.upstream.pools) == [PRESENT_ENDPOINT_ID]
+        assert time.monotonic() - began_at < MAX_START_SECONDS
 
 
 # Guards against an agent that is unavailable and keeps the process from serving.
 @async_test
 async def test_the_start_does_not_wait_for_the_endpoint_list_for_ever() -> None:
-    started_at = time.monotonic()
-    async with process_with_cached_endpoint(LateAgent()) as process:
-        process.endpoint_list_timeout = 0.05
-        await process.start()
-        assert list(process.driver.upstream.pools) == [CACHED_ENDPOINT]
-        assert time.monotonic() - started_at < MAX_START_SECONDS
+    began_at = time.monotonic()
+    async with gateway_with_cached_list(gated_agent(), list_timeout=0.05) as gateway:
+        await gateway.start()
+        assert list(gateway.driver.upstream.pools) == [CACHED_ENDPOINT_ID]
+        assert time.monotonic() - began_at < MAX_START_SECONDS
