--- a/gateway/policy/endpoint_scorer.py
+++ b/gateway/policy/endpoint_scorer.py
@@ -47,7 +47,9 @@
     def score(self, endpoint: Endpoint) -> float:
         """Return the expected latency in seconds times the load; infinite without capacity."""
         capacity_fraction = self.slow_start.capacity_fraction(endpoint.record.started_at)
-        latency = endpoint.expected_latency(self.now, self.mean_latency) / capacity_fraction
+        started_at = endpoint.in_flight.values()
+        latency = endpoint.outlier_detector.expected_latency(self.now, self.mean_latency, started_at)
+        latency /= capacity_fraction
         if not self._is_eligible(endpoint, latency, capacity_fraction):
             return math.inf
         return latency * self._expected_load(endpoint) * (1 + self.random() / JITTER_DIVISOR)
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -68,11 +68,6 @@
         """Remove an attempt and return when it started; None where it is not in flight here."""
         return self.in_flight.pop(key, None)
 
-    def expected_latency(self, now: float, mean_latency: float) -> float:
-        """Return the latency in seconds to expect here, given the mean latency of all endpoints."""
-        oldest_attempt_at = next(iter(self.in_flight.values()), now)
-        return self.outlier_detector.expected_latency(now, mean_latency, oldest_attempt_at)
-
 
 @dataclass(slots=True)
 class Attempt:
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -81,14 +81,15 @@
             case events.ClientDisconnected():
                 self._on_client_disconnected(event)
         self._set_timer()
-        return self.actions
+        return self.context.actions
 
     def _on_request(self, request: events.Request) -> None:
+        settings = self.context.settings
         now = self.context.now
         pending = PendingRequest(
             request,
-            self.settings.classes[request.class_index],
-            self.settings.plans[request.plan_index],
+            settings.classes[request.class_index],
+            settings.plans[request.plan_index],
             arrived_at=now,
             deadline=now + request.time_remaining,
         )
@@ -187,7 +188,7 @@
     def _reject(self, pending: PendingRequest, retry_after: float) -> None:
         """Answer a request with a rejection that tells after how many seconds to retry."""
         self._close(pending)
-        retry_after = min(max(0.0, retry_after), self.settings.limits.max_retry_after)
+        retry_after = min(max(0.0, retry_after), self.context.settings.limits.max_retry_after)
         self.context.actions.append(Reject(pending.request.request_id, retry_after))
 
     def _close(self, pending: PendingRequest) -> None:
@@ -202,7 +203,7 @@
         """Set a timer only while there is something to wait for: idle gateways cost nothing."""
         if not self.pending and not self.leases.reclaimable:
             return
-        waiting = len(self.queue) > 0 or self.requests_in_flight < len(self.pending)
+        waiting = self.requests_in_flight < len(self.pending) or len(self.queue) > 0
         due = self.timer.schedule(self.context.now, waiting=waiting)
         if due is not None:
             self.context.actions.append(SetTimer(due, TIMER_TOKEN))
--- a/gateway/policy/outlier_detector.py
+++ b/gateway/policy/outlier_detector.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from gateway.policy.context import DECAY_SECONDS, LATENCY_WEIGHT
@@ -64,7 +65,7 @@
         """Return whether this endpoint is much slower than the mean of all."""
         return self.latency.value >= OUTLIER_FACTOR * mean_latency
 
-    def expected_latency(self, now: float, mean_latency: float, oldest_attempt_at: float) -> float:
+    def expected_latency(self, now: float, mean_latency: float, started_at: Iterable[float]) -> float:
         """Return the latency in seconds to expect: at least the time for which attempts got no response.
 
         A latency above the mean fades to it while no attempt ends there.
@@ -72,26 +73,36 @@
         Args:
             now: Unix time in seconds.
             mean_latency: Mean latency of all endpoints, in seconds.
-            oldest_attempt_at: Unix time at which the oldest attempt in flight started; `now` without one.
+            started_at: Unix times at which the attempts in flight started, in seconds; oldest first.
         """
         latency = self.latency.value
         if latency > mean_latency:
             fade = decay(self.last_outcome_at, now, DECAY_SECONDS)
-            latency = min(latency, mean_latency + (latency - mean_latency) * fade)
-        silent_since = self.last_response_at
-        if oldest_attempt_at > silent_since:
-            silent_since = oldest_attempt_at
+            faded = mean_latency + (latency - mean_latency) * fade
+            if faded < latency:
+                latency = faded
+        silent_since = next(iter(started_at), now)
+        if silent_since < self.last_response_at:
+            silent_since = self.last_response_at
         silence = now - silent_since
         return silence if silence > latency else latency
 
-    def response_gap(self, class_index: int, since: float, now: float) -> float:
-        """Return for how many seconds after `since` the class has got no response."""
-        last_response_at = self.last_response_by_class.get(class_index, 0.0)
-        return now - max(since, last_response_at)
+    def detect_silence(self, class_index: int, started_at: float, longest: float, now: float) -> bool:
+        """Record, and return, whether requests of a class have got no response for too long.
+
+        Silence is recorded by class, as responses to the other classes would hide it.
 
-    def mark_silent(self, class_index: int, now: float) -> None:
-        """Record that requests of a class get no response, though those of other classes may."""
-        self.silent_classes[class_index] = now
+        Args:
+            class_index: Class of the request.
+            started_at: Unix time at which an attempt of the class started, in seconds.
+            longest: Seconds after which the endpoint counts as silent.
+            now: Unix time in seconds.
+        """
+        last_response_at = self.last_response_by_class.get(class_index, 0.0)
+        silent = now - max(started_at, last_response_at) >= longest
+        if silent:
+            self.silent_classes[class_index] = now
+        return silent
 
     def is_silent(self, class_index: int, now: float) -> bool:
         """Return whether requests of a class were left without a response lately."""
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -113,24 +113,13 @@
     def _is_stalled(self, pending: PendingRequest, attempt: Attempt) -> bool:
         """Return whether an attempt is lost or its endpoint silent, and another one may still be in time."""
         now = self.context.now
-        latency = self.limiter.class_latency[pending.request.class_index].value
-        silent = self._detect_silence(pending, attempt, SILENT_LATENCIES * latency)
-        objective_at = pending.arrived_at + pending.request_class.latency_objective
-        if now + latency > objective_at or not self._has_attempts_left(pending):
-            return False
-        factor = SILENT_LATENCIES if silent else LOST_LATENCIES
-        wait = factor * latency * BACKOFF_BASE ** (pending.attempts_started - 1)
-        return now - attempt.started_at >= wait
-
-    def _detect_silence(self, pending: PendingRequest, attempt: Attempt, longest: float) -> bool:
-        """Mark an endpoint that has left a class without a response for so many seconds; return whether so.
-
-        Silence is judged by endpoint and class, as responses to other classes may hide it.
-        """
-        now = self.context.now
         class_index = pending.request.class_index
+        latency = self.limiter.class_latency[class_index].value
         detector = attempt.endpoint.outlier_detector
-        silent = detector.response_gap(class_index, attempt.started_at, now) >= longest
-        if silent:
-            detector.mark_silent(class_index, now)
-        return silent
+        silent = detector.detect_silence(class_index, attempt.started_at, SILENT_LATENCIES * latency, now)
+        factor = SILENT_LATENCIES if silent else LOST_LATENCIES
+        wait = factor * latency * BACKOFF_BASE ** (pending.attempts_started - 1)
+        if now - attempt.started_at < wait:
+            return False
+        objective_at = pending.arrived_at + pending.request_class.latency_objective
+        return now + latency <= objective_at and self._has_attempts_left(pending)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -25,7 +25,9 @@
 
 
 def expected_latency(policy: Policy, endpoint: Endpoint) -> float:
-    return endpoint.expected_latency(policy.context.now, policy.concurrency_limiter.mean_latency)
+    mean_latency = policy.concurrency_limiter.mean_latency
+    started_at = endpoint.in_flight.values()
+    return endpoint.outlier_detector.expected_latency(policy.context.now, mean_latency, started_at)
 
 
 def test_an_endpoint_without_a_report_counts_as_busier_than_the_mean() -> None:
