--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -1,7 +1,7 @@
-"""Actions that the policy answers an event with; its driver carries them out in order.
+"""Actions that the policy answers an event with; its driver executes them in order.
 
 Times are in seconds.  CloseIdle, SendToPeers, WatchEndpoints and FetchEndpoints belong to the simulator's
-wire; the policy never answers with them, and the gateway's driver supports none but CloseIdle.
+wire; the policy never emits them, and the gateway's driver supports none but CloseIdle.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Forward a request to an endpoint.  The first response that serves goes to the client."""
+    """Forward a request to an endpoint.  The first successful response goes to the client."""
 
     request_id: int
     endpoint_id: int
@@ -20,15 +20,15 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Answer a request with a rejection, which tells its client that a retry does no harm."""
+    """Answer a request with a rejection, which tells its client that it may retry safely."""
 
     request_id: int
-    retry_after: float  # 0: no advice
+    retry_after: float  # 0: not stated
 
 
 @dataclass(slots=True)
 class Fail:
-    """Answer a request with a failure, which says nothing of what its attempts have done."""
+    """Answer a request with a failure, which leaves open whether its attempts had an effect."""
 
     request_id: int
 
@@ -43,9 +43,9 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired event at a time; a timer cannot be unset."""
+    """Ask for a TimerFired event; a timer cannot be unset."""
 
-    at: float
+    at: float  # Unix time
     token: int
 
 
@@ -80,23 +80,23 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Begin or end a watch on the endpoint list."""
+    """Start or stop a watch on the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask for the endpoint list once."""
+    """Poll the endpoint list once."""
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a named number of the counter; a CounterReply tells its total."""
+    """Add to a total of the counter; a CounterReply follows with the total."""
 
     name: int
-    amount: float  # below 0: take off
-    expires_after: float  # counted from the call that made the name; later calls do not extend it
+    amount: float  # below 0: subtract
+    expires_after: float  # time after the call that created the name; later calls do not extend it
 
 
 Action = (
