--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -8,50 +8,48 @@
 
 from gateway.policy.events import ClientDisconnected, Outcome
 from gateway.upstream import connection_pool
-from tests.support.harness import async_test
-from tests.support.sockets import (
-    FIRST,
-    FakeEndpoint,
-    HttpClient,
-    listening,
-    read_message,
-    running_gateway,
-    send_on,
-    until,
-)
-from tests.upstream.scripts import echo_request_id, one_at_a_time
+from tests.support.event_loop import async_test, until
+from tests.support.fake_endpoint import FakeEndpoint
+from tests.support.gateway import running_gateway
+from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
+from tests.support.http_messages import read_message
+from tests.support.scripted_policy import FIRST, forward_to_first
+from tests.support.upstream import echo_request_id, two_clients
 
 
-# Guards against forwarding a second copy of a response that comes some milliseconds late, when the next
-# request could be in flight on its connection: for that time the connection is not used again.
-@async_test
-async def test_a_late_second_copy_is_not_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1.0)
+class DuplicatingEndpoint:
+    """An endpoint that sends a second copy of its first response a moment after `may_duplicate` is set."""
 
-    seen: list[str] = []
+    def __init__(self) -> None:
+        self.may_duplicate = asyncio.Event()
+        self.request_ids: list[str] = []
 
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             message = await read_message(reader)
-            seen.append(message.headers["request-id"])
+            self.request_ids.append(message.headers["request-id"])
             writer.write(echo_request_id(message))
-            if len(seen) == 1:
-                await until(lambda: script.outcomes())  # the next request goes out with this news
+            if len(self.request_ids) == 1:
+                await self.may_duplicate.wait()
                 await asyncio.sleep(0.005)
                 writer.write(echo_request_id(message))
 
-    async with (
-        listening(handle) as address,
-        running_gateway(address, react=one_at_a_time()) as (gateway, script),
-        HttpClient(gateway.listener) as one,
-        HttpClient(gateway.listener) as two,
-    ):
-        one.writer.write(one.request(Request_Id="one"))
-        two.writer.write(two.request(Request_Id="two"))
-        responses = [await read_message(c.reader) for c in (one, two)]
-        assert [(a.status, a.body) for a in responses] == [(200, b"one"), (200, b"two")]
-        assert script.outcomes() == [Outcome.OK, Outcome.OK]
-        assert seen == ["one", "two"]
+
+# Guards against forwarding a second copy of a response that comes some milliseconds late, when the next
+# request could be in flight on its connection: for that time the connection is not used again.
+@async_test
+async def test_a_late_second_copy_is_not_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1.0)
+    endpoint = DuplicatingEndpoint()
+    async with two_clients(endpoint.handle) as clients, asyncio.TaskGroup() as group:
+        responses_of_both = group.create_task(clients.ask_both())
+        await until(clients.policy.outcomes)  # the next request is forwarded with this event
+        endpoint.may_duplicate.set()
+        responses = await responses_of_both
+        assert [response.status for response in responses] == [200, 200]
+        assert [response.body for response in responses] == [b"one", b"two"]
+        assert clients.policy.outcomes() == [Outcome.OK, Outcome.OK]
+        assert endpoint.request_ids == ["one", "two"]
 
 
 # Guards against an attempt that is sent for a client that left during the reuse delay, and against losing the
@@ -61,18 +59,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
-
     endpoint = FakeEndpoint(echo_request_id)
-    async with (
-        listening(endpoint.handle) as address,
-        running_gateway(address, react=send_on) as (gateway, script),
-    ):
+    async with running_gateway(endpoint, react=forward_to_first) as (gateway, policy):
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="one")).body == b"one"
-            client.writer.write(client.request(2, Request_Id="two"))
+            client.writer.write(client.request(NON_IDEMPOTENT_CLASS, Request_Id="two"))
             await until(lambda: gateway.driver.upstream.pools[FIRST].waiting)
-        await until(lambda: script.of(ClientDisconnected))
-        assert script.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
+        await until(lambda: policy.of(ClientDisconnected))
+        assert policy.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="three")).body == b"three"
-        assert [m.headers["request-id"] for m in endpoint.seen] == ["one", "three"]
+        assert [message.headers["request-id"] for message in endpoint.seen] == ["one", "three"]
