--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -32,7 +32,7 @@
     NO_REPLY = auto()  # the counter may have added the units
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class LeaseReply:
     """A reply to a call that requested a lease.
 
@@ -47,7 +47,7 @@
     is_first: bool
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class PendingAdd:
     """A call in flight that adds to the total of a lease's window.
 
@@ -122,8 +122,7 @@
 
     def report_overdue_units(self, lease: Lease) -> None:
         """Add unreported units that should not wait for the next request."""
-        if lease.ledger.overdue_units():
-            self._add(lease, lease.ledger.take_unreported(), is_return=True)
+        self._add(lease, lease.ledger.take_unreported(), is_return=True)
 
     def _add(self, lease: Lease, amount: float, *, is_return: bool) -> None:
         window_index = lease.ledger.window_index
@@ -141,8 +140,10 @@
         if not pending_adds:
             return None
         call = pending_adds.popleft()
-        later_units = sum(later.amount for later in pending_adds)
-        if not pending_adds:
+        later_units = 0.0
+        if pending_adds:
+            later_units = sum(later.amount for later in pending_adds)
+        else:
             del self.pending_adds[reply.name]
         lease = call.lease
         self.rate_limiter.record_reply(reply)
--- a/gateway/policy/counter_ledger.py
+++ b/gateway/policy/counter_ledger.py
@@ -13,7 +13,7 @@
 MIN_LOST_UNITS = 0.01  # by which a total must be too low to count as lost
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class CounterTotal:
     """The counter's reply to a call that added units.
 
@@ -32,7 +32,7 @@
     is_first: bool
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class Batch:
     """What a lease should request next.
 
@@ -45,7 +45,7 @@
     overflow_units: float = 0.0
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class Denial:
     """How long requests are rejected after a denied lease.
 
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -89,7 +89,8 @@
 
     def may_call(self) -> bool:
         """Return whether a call may be made now."""
-        return self.enabled and self._available_calls() >= 1.0
+        # The bucket's capacity is above the one call that this is about.
+        return self.enabled and self.calls.available(self.context.now, self.rate, math.inf) >= 1.0
 
     def has_headroom(self) -> bool:
         """Return whether calls are left for those that only refine a decision."""
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -73,7 +73,8 @@
             lease.roll_window(self.context.now)
             if lease.request.in_flight or not self.calls.rate_limiter.may_call():
                 continue
-            self.calls.report_overdue_units(lease)
+            if lease.ledger.overdue_units():
+                self.calls.report_overdue_units(lease)
             if self._reclaim(lease) and not lease.usage.slots_in_use:
                 del self.reclaimable[key]
         self._forget_unused_leases()
@@ -81,11 +82,13 @@
     def _reclaim(self, lease: Lease) -> bool:
         """Return idle credits if others may need them; return whether no credits are left to return."""
         now = self.context.now
-        is_idle = lease.quota.are_credits_idle(now - lease.usage.last_used_at)
-        is_scarce = lease.ledger.is_scarce(now)
-        if is_idle and is_scarce and self.calls.rate_limiter.has_headroom():
+        if not lease.quota.are_credits_idle(now - lease.usage.last_used_at):
+            return lease.credits <= EPSILON
+        if not lease.ledger.is_scarce(now):
+            return True
+        if self.calls.rate_limiter.has_headroom():
             self.calls.return_units(lease, lease.take_credits())
-        return lease.credits <= EPSILON or (is_idle and not is_scarce)
+        return lease.credits <= EPSILON
 
     def _forget_unused_leases(self) -> None:
         now = self.context.now
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -29,7 +29,7 @@
     kind: QuotaKind
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class Shortfall:
     """A requested lease that exceeds its quota.
 
@@ -46,7 +46,7 @@
     is_frequent: bool
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class Grant:
     """The part of a requested lease that is kept.
 
