--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -136,21 +136,16 @@
 
     def handle_reply(self, reply: CounterReply) -> LeaseReply | None:
         """Account for the oldest call of that name; return what the reply means if it requested a lease."""
-        pending_adds = self.pending_adds.get(reply.name)
-        if not pending_adds:
+        call = self._take_oldest_call(reply.name)
+        if call is None:
             return None
-        call = pending_adds.popleft()
-        later_units = 0.0
-        if pending_adds:
-            later_units = sum(later.amount for later in pending_adds)
-        else:
-            del self.pending_adds[reply.name]
         lease = call.lease
         self.rate_limiter.record_reply(reply)
         lease.roll_window(self.context.now)
         is_current = call.window_index == lease.ledger.window_index
         is_first = not lease.ledger.may_add_unreported()
         if is_current and reply.outcome is Outcome.OK:
+            later_units = sum(later.amount for later in self.pending_adds.get(reply.name, ()))
             total = CounterTotal(reply.total, call.amount, later_units, self.context.now, is_first)
             self._reconcile(call, total)
         elif is_current:
@@ -161,7 +156,17 @@
         meaning = self._apply_outcome(lease, reply.outcome) if is_current else ReplyMeaning.EXPIRED
         return LeaseReply(lease, meaning, is_first)
 
+    def _take_oldest_call(self, name: int) -> PendingAdd | None:
+        pending_adds = self.pending_adds.get(name)
+        if not pending_adds:
+            return None
+        call = pending_adds.popleft()
+        if not pending_adds:
+            del self.pending_adds[name]
+        return call
+
     def _apply_outcome(self, lease: Lease, outcome: Outcome) -> ReplyMeaning:
+        """Return what a reply in the lease's current window means, and keep what it grants."""
         if outcome.never_ran:
             return ReplyMeaning.REJECTED
         if outcome is not Outcome.OK:
