--- a/tests/policy/test_counter_calls.py
+++ b/tests/policy/test_counter_calls.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from gateway.policy.actions import AddToCounter, StartAttempt
-from gateway.policy.events import CounterReply, Outcome
+from gateway.policy.actions import StartAttempt
+from gateway.policy.engine import Policy
 from tests.support.policy import (
     START,
     FakeCounter,
+    counter_calls,
     make_policy,
     make_request,
     only_lease,
@@ -16,35 +17,31 @@
 )
 
 
-def test_further_requests_wait_for_the_lease_in_flight() -> None:
-    policy = make_policy()
-    (met,) = (a for a in policy.handle(START, make_request(0)) if isinstance(a, AddToCounter))
-    found = run_event(policy, FakeCounter(), START, CounterReply(met.name, Outcome.OK, met.amount, 0.001))
-    assert met.amount == round(8.0 / 3)
-    assert {s.request_id for s in started_attempts(found)} == {0}
-    lease = only_lease(policy)
-    lease.credits = 0.0
+def test_further_requests_wait_for_the_lease_in_flight(policy: Policy) -> None:
+    (first_call,) = counter_calls(policy.handle(START, make_request(0)))
+    found = run_event(policy, FakeCounter(), START, FakeCounter().answer(first_call))
+    assert first_call.amount == round(8.0 / 3)
+    assert {attempt.request_id for attempt in started_attempts(found)} == {0}
+    only_lease(policy).credits = 0.0
     first = policy.handle(START, make_request(1))
     second = policy.handle(START, make_request(2))
-    assert len([a for a in first if isinstance(a, AddToCounter)]) == 1
-    assert not [a for a in second if isinstance(a, AddToCounter | StartAttempt)]
-    (call,) = (a for a in first if isinstance(a, AddToCounter))
-    answered = run_event(
-        policy, FakeCounter(), START, CounterReply(call.name, Outcome.OK, call.amount, 0.001)
-    )
-    assert {s.request_id for s in started_attempts(answered)} == {1, 2}
-
-
-def test_the_first_lease_is_the_gateways_part_of_the_window() -> None:
-    policy = make_policy()
-    run_event(policy, FakeCounter(), START, make_request(1))
+    assert len(counter_calls(first)) == 1
+    assert not counter_calls(second)
+    assert not [action for action in second if isinstance(action, StartAttempt)]
+    (call,) = counter_calls(first)
+    answered = run_event(policy, FakeCounter(), START, FakeCounter().answer(call))
+    assert {attempt.request_id for attempt in started_attempts(answered)} == {1, 2}
+
+
+def test_the_first_lease_is_the_gateways_part_of_the_window(policy: Policy, counter: FakeCounter) -> None:
+    run_event(policy, counter, START, make_request(1))
     assert only_lease(policy).credits + 1 == round(8.0 / 3)
 
 
-def test_the_first_lease_of_a_known_customer_takes_one_call() -> None:
-    counter = FakeCounter()
-    fleet = [make_policy(me=str(n), peers_total="20") for n in range(20)]
-    for n, policy in enumerate(fleet[:8]):
+def test_the_first_lease_of_a_known_customer_takes_one_call(counter: FakeCounter) -> None:
+    fleet = [make_policy(me=str(index), peers_total="20") for index in range(20)]
+    for index, gateway in enumerate(fleet[:8]):
         calls = counter.calls
-        assert serve(policy, counter, START, n, gateway_set_size=20)
-        assert counter.calls - calls <= (1 if n else 2)  # the first one adds the overflow too
+        assert serve(gateway, counter, START, index, gateway_set_size=20)
+        most = 1 if index else 2  # the first one adds the overflow too
+        assert counter.calls - calls <= most
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -5,22 +5,22 @@
 import pytest
 
 from gateway.policy.actions import Fail, Reject
+from gateway.policy.engine import Policy
 from gateway.policy.events import EndpointUpdate, UpdateKind
 from tests.support.policy import (
     START,
     FakeCounter,
-    make_policy,
     make_record,
     make_request,
     only_lease,
     quota_level,
     run_event,
     serve,
+    serve_many,
 )
 
 
-def test_credits_expire_at_the_windows_edge() -> None:
-    counter, policy = FakeCounter(), make_policy()
+def test_credits_expire_at_the_windows_edge(policy: Policy, counter: FakeCounter) -> None:
     serve(policy, counter, START, 1)
     lease = only_lease(policy)
     lease.credits = 3.0
@@ -29,17 +29,16 @@
     assert lease.credits == 0.0
 
 
-def test_a_denied_lease_keeps_the_unit_that_accrues_next() -> None:
+def test_a_denied_lease_keeps_the_unit_that_accrues_next(policy: Policy, counter: FakeCounter) -> None:
     """What the quota does not hold is returned, but for the unit that accrues next.
 
     It is spent then without another call, and the customer is rejected until then.
     """
-    counter, policy = FakeCounter(), make_policy()
-    admitted = sum(serve(policy, counter, START, request_id) for request_id in range(30))
-    assert admitted == 8
+    assert serve_many(policy, counter, START, range(30)) == 8
     assert quota_level(policy) == pytest.approx(-1.0)
-    rejected = [a for a in run_event(policy, counter, START + 0.1, make_request(40)) if isinstance(a, Reject)]
-    assert [round(a.retry_after, 3) for a in rejected] == [0.15]  # 4 units a second
+    actions = run_event(policy, counter, START + 0.1, make_request(40))
+    rejections = [action for action in actions if isinstance(action, Reject)]
+    assert [round(rejection.retry_after, 3) for rejection in rejections] == [0.15]  # 4 units a second
     assert not serve(policy, counter, START + 0.24, 41)
     calls = counter.calls
     assert serve(policy, counter, START + 0.26, 42)
@@ -52,22 +51,28 @@
     assert counter.calls == calls
 
 
-def test_an_infrequent_customers_next_unit_is_not_leased_ahead() -> None:
-    counter, one, other = FakeCounter(), make_policy(me="0"), make_policy(me="1")
-    assert sum(serve(one, counter, START, request_id) for request_id in range(30)) == 8
-    assert not serve(other, counter, START + 0.01, 40)
-    assert only_lease(one).credits == 1.0
-    assert only_lease(other).credits == 0.0
+def test_an_infrequent_customers_next_unit_is_not_leased_ahead(
+    policy: Policy, other_policy: Policy, counter: FakeCounter
+) -> None:
+    assert serve_many(policy, counter, START, range(30)) == 8
+    assert not serve(other_policy, counter, START + 0.01, 40)
+    assert only_lease(policy).credits == 1.0
+    assert only_lease(other_policy).credits == 0.0
 
 
-def test_a_queued_requests_credit_under_a_ceiling_expires_with_its_window() -> None:
-    counter, policy = FakeCounter(), make_policy()
-    policy.concurrency_limiter.late_ratio, policy.concurrency_limiter.concurrency_limit = 1.0, 0.0
+def test_a_queued_requests_credit_under_a_ceiling_expires_with_its_window(
+    policy: Policy, counter: FakeCounter
+) -> None:
+    limiter = policy.concurrency_limiter
+    limiter.late_ratio = 1.0
+    limiter.concurrency_limit = 0.0
     policy.endpoints.by_id.clear()
     policy.endpoints.ready.clear()
     run_event(policy, counter, START, make_request(1, plan=1))
-    calls, (lease,) = counter.calls, policy.leases.by_customer.values()
-    later, policy.concurrency_limiter.concurrency_limit = START + lease.quota.window_length + 0.01, 4.0
-    found = run_event(policy, counter, later, EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(1),)))
+    calls = counter.calls
+    later = START + only_lease(policy).quota.window_length + 0.01
+    limiter.concurrency_limit = 4.0
+    update = EndpointUpdate(UpdateKind.SNAPSHOT, 2, (make_record(1),))
+    actions = run_event(policy, counter, later, update)
     assert counter.calls == calls + 2
-    assert not [a for a in found if isinstance(a, Fail)]
+    assert not [action for action in actions if isinstance(action, Fail)]
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -88,17 +88,32 @@
     time_remaining: float = 4.0,
     gateway_set_size: int = 3,
 ) -> Request:
-    return Request(request_id, cls, plan, customer, time_remaining, 1.0, gateway_set_size, 0, False, False)
+    return Request(
+        request_id,
+        cls,
+        plan,
+        customer,
+        time_remaining,
+        units=1.0,
+        gateway_set_size=gateway_set_size,
+        first_gateway=0,
+        is_retry=False,
+        is_write=False,
+    )
 
 
 def make_finished(
-    request_id: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool = False
+    request_id: int, send: StartAttempt, outcome: Outcome, attempt: int = 0, *, closed: bool = False
 ) -> AttemptFinished:
     return AttemptFinished(request_id, attempt, send.endpoint_id, outcome, closed, 0.1, 0, 0, ())
 
 
 def started_attempts(actions: Iterable[Action]) -> list[StartAttempt]:
-    return [a for a in actions if isinstance(a, StartAttempt)]
+    return [action for action in actions if isinstance(action, StartAttempt)]
+
+
+def counter_calls(actions: Iterable[Action]) -> list[AddToCounter]:
+    return [action for action in actions if isinstance(action, AddToCounter)]
 
 
 class FakeCounter:
@@ -133,6 +148,11 @@
     return policy
 
 
+def make_fleet(count: int, **changes: str) -> list[Policy]:
+    """Gateways of one deployment."""
+    return [make_policy(me=str(index), **changes) for index in range(count)]
+
+
 def run_event(policy: Policy, counter: FakeCounter, now: float, event: Event) -> list[Action]:
     """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
     found = policy.handle(now, event)
@@ -153,6 +173,11 @@
     return bool(sent)
 
 
+def serve_many(policy: Policy, counter: FakeCounter, now: float, request_ids: Iterable[int]) -> int:
+    """Serve one customer's requests at once; return how many were admitted."""
+    return sum(serve(policy, counter, now, request_id) for request_id in request_ids)
+
+
 def start_request(policy: Policy, request_id: int, **kind: int) -> StartAttempt:
     """The first attempt of a new customer's request, which stays in flight."""
     (sent,) = started_attempts(
@@ -174,6 +199,25 @@
     return ledger.level(policy.context.now)
 
 
+class ReferenceQuota:
+    """What a customer's quota holds if all requests are counted at once."""
+
+    def __init__(self, *, rate: float, burst: float) -> None:
+        self.rate = rate
+        self.burst = burst
+        self.level = burst
+        self.updated_at = START
+
+    def refill(self, now: float) -> None:
+        self.level = min(self.burst, self.level + self.rate * (now - self.updated_at))
+        self.updated_at = now
+
+    def take(self, now: float) -> None:
+        """Count a unit, whether or not the quota holds it."""
+        self.refill(now)
+        self.level -= 1.0
+
+
 class SpentCounter(FakeCounter):
     """A counter to whose totals others have added that much before."""
 
