--- a/tests/policy/test_counter_rate_limiter.py
+++ b/tests/policy/test_counter_rate_limiter.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
-from gateway.policy.events import (
-    Outcome,
-)
+from gateway.policy.engine import Policy
+from gateway.policy.events import Outcome
 from tests.support.policy import (
     START,
     FakeCounter,
-    make_policy,
     serve,
 )
 
 
-def test_the_call_rate_falls_while_the_counter_fails_and_recovers() -> None:
-    counter, policy = FakeCounter(), make_policy()
+def test_the_call_rate_falls_while_the_counter_fails_and_recovers(
+    policy: Policy, counter: FakeCounter
+) -> None:
+    limiter = policy.counter_rate_limiter
     counter.outcome = Outcome.TIMEOUT
     for request_id in range(200):
         serve(policy, counter, START + request_id / 50, request_id, customer=request_id)
-    low = policy.counter_rate_limiter.rate
+    low = limiter.rate
     assert low <= 20
     assert counter.calls < 150
     counter.outcome = Outcome.OK
     for request_id in range(200):
         serve(policy, counter, START + 4 + request_id / 50, 1000 + request_id, customer=1000 + request_id)
-    assert policy.counter_rate_limiter.rate > 2 * low
+    assert limiter.rate > 2 * low
--- a/tests/policy/test_lease_sizing.py
+++ b/tests/policy/test_lease_sizing.py
@@ -13,18 +13,18 @@
     only_lease,
 )
 
+DEMAND = 16.0  # units in a refill time
+OPTIMUM = math.log(math.sqrt(2 * DEMAND / 0.5))  # with the least stranding cost
 
-@pytest.mark.parametrize("start", [0.1, 2.0])
+
+@pytest.mark.parametrize("start", [pytest.param(0.1, id="from-below"), pytest.param(2.0, id="from-near")])
 def test_the_batch_size_converges_to_the_optimum(start: float) -> None:
     policy = make_policy(tariffs__0__peak_units="80.0")
     policy.handle(START, make_request(1))
     lease = only_lease(policy)
     lease.sizer.log_batch_size = start
-    lease.grants.ratio.value = 1.0
-    optimum = math.log(math.sqrt(2 * 16.0 / 0.5))
-    before = abs(lease.sizer.log_batch_size - optimum)
+    before = abs(lease.sizer.log_batch_size - OPTIMUM)
     for _ in range(200):
-        lease.usage.served_units = 16.0
-        lease.grants.ratio.value = 1.0
+        lease.usage.served_units = DEMAND
         lease.update_batch_size(policy.context.now)
-    assert abs(lease.sizer.log_batch_size - optimum) < min(before, 0.1)
+    assert abs(lease.sizer.log_batch_size - OPTIMUM) < min(before, 0.1)
