--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -34,17 +34,13 @@
 # What still breaks a guard, by module.  Entries may only shrink or go; a module without one keeps the rule.
 METHODS_LEFT = {  # of its largest class
     "gateway.counter.connection": 21,
-    "gateway.policy.admission": 23,
 }
 FIELDS_LEFT = {  # of its largest class
     "gateway.policy.engine": 16,
-    "gateway.policy.lease": 36,
 }
 CIRCLES_LEFT: set[str] = set()
 FOREIGN_WRITES_LEFT = {
-    "gateway.policy.admission": 13,
     "gateway.policy.engine": 2,
-    "gateway.policy.lease_table": 35,
 }
 
 POLICY_TYPES = {f"gateway.policy.{Path(name).stem}" for name in TYPE_MODULES}
