--- a/gateway/config/parser.py
+++ b/gateway/config/parser.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from pathlib import Path
 from typing import Any
 
 from gateway.address import Address, parse_address
@@ -31,7 +30,8 @@
     if not path:
         raise ConfigError(f"{keys.CONFIG_PATH_VARIABLE} is not set")
     try:
-        text = Path(path).read_text(encoding="utf-8")
+        with open(path, encoding="utf-8") as source:  # noqa: PTH123  # errors quote the path as it was given
+            text = source.read()
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"cannot read the configuration: {error}") from None
     return parse_config(text, env, again=again)
