--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -3,6 +3,8 @@
 Why a request was rejected: admission.py.  Where it was sent, and sent again: load_balancer.py, retries.py.
 """
 
+from __future__ import annotations
+
 from gateway.policy import events
 from gateway.policy.actions import Action, Fail, Reject, SetTimer, StartAttempt
 from gateway.policy.admission import Admission, AdmissionCallbacks
@@ -38,16 +40,21 @@
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.context = context = Context(settings, seed)
-        self.counter_rate_limiter = rate_limiter = CounterRateLimiter(context)
-        self.slow_start = SlowStart(context)
-        self.endpoints = endpoints = EndpointTable(context, self.slow_start)
-        self.concurrency_limiter = limiter = ConcurrencyLimiter(context, endpoints)
-        self.load_balancer = LoadBalancer(context, endpoints, self.slow_start, limiter)
+        context = Context(settings, seed)
+        rate_limiter = CounterRateLimiter(context)
         counter_calls = CounterCalls(context, rate_limiter)
+        slow_start = SlowStart(context)
+        endpoints = EndpointTable(context, slow_start)
+        limiter = ConcurrencyLimiter(context, endpoints)
+        callbacks = AdmissionCallbacks(dispatch=self._dispatch, reject=self._reject)
+        self.context = context
+        self.counter_rate_limiter = rate_limiter
+        self.slow_start = slow_start
+        self.endpoints = endpoints
+        self.concurrency_limiter = limiter
+        self.load_balancer = LoadBalancer(context, endpoints, slow_start, limiter)
         self.leases = LeaseTable(context, counter_calls)
         self.local_admission = LocalAdmission(context, rate_limiter, limiter)
-        callbacks = AdmissionCallbacks(dispatch=self._dispatch, reject=self._reject)
         self.admission = Admission(context, self.leases, counter_calls, self.local_admission, callbacks)
         self.retries = Retries(context, endpoints, limiter, self.load_balancer)
         self.pending: dict[int, PendingRequest] = {}
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -83,7 +83,7 @@
         assert not started_attempts(
             run_event(policy, counter, START + 0.01, make_finished(1, in_flight.pop(), Outcome.OVERLOADED))
         )
-        assert policy.queue.request_ids() == [1]
+        assert [pending.request.request_id for pending in policy.queue.waiting] == [1]
     if state == "hedged":
         in_flight += [
             s
