--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from gateway.policy.actions import StartAttempt
 from gateway.policy.events import (
     Outcome,
     ProbeFinished,
@@ -26,14 +27,15 @@
 
 def test_a_hanging_endpoint_leaves_the_capacity_of_the_others() -> None:
     policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
-    sent = [
-        s for request_id in range(6) for s in started_attempts(policy.handle(START, make_request(request_id)))
-    ]
-    for send in sent:  # all attempts at endpoint 1 stay in flight
-        if send.endpoint_id == 2:
-            policy.handle(START + 0.1, make_finished(send.request_id, send, Outcome.OK, closed=True))
+    attempts: list[StartAttempt] = []
+    for request_id in range(6):
+        attempts += started_attempts(policy.handle(START, make_request(request_id)))
+    for attempt in attempts:  # those at endpoint 1 stay in flight
+        if attempt.endpoint_id == 2:
+            finished = make_finished(attempt.request_id, attempt, Outcome.OK, closed=True)
+            policy.handle(START + 0.1, finished)
     policy.context.now = START + 1.5
-    hanging = len(policy.endpoints.by_id[1].in_flight)
-    assert hanging >= 1
+    assert len(policy.endpoints.by_id[1].in_flight) >= 1
     assert policy.concurrency_limiter.has_capacity()
-    assert {s.endpoint_id for s in started_attempts(policy.handle(START + 1.5, make_request(99)))} == {2}
+    later = started_attempts(policy.handle(START + 1.5, make_request(99)))
+    assert {attempt.endpoint_id for attempt in later} == {2}
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateway.policy.actions import Probe
+from gateway.policy.actions import Action, Probe
 from gateway.policy.endpoints import Endpoint
 from gateway.policy.engine import Policy
 from gateway.policy.events import (
@@ -12,6 +12,7 @@
     ProbeFinished,
     TimerFired,
 )
+from tests.support.endpoints import actions_of
 from tests.support.policy import (
     START,
     FakeCounter,
@@ -30,57 +31,60 @@
     return endpoint.outlier_detector.expected_latency(policy.context.now, mean_latency, started_at)
 
 
+def estimated_load(policy: Policy, endpoint: Endpoint) -> float:
+    return policy.concurrency_limiter.estimated_load(endpoint.load_report)
+
+
 def test_an_endpoint_without_a_report_counts_as_busier_than_the_mean() -> None:
     policy = make_policy(caps__may_probe="true", report__how="pull", report__columns="queue,util,inflight")
-    (probe,) = (a for a in policy.handle(START, make_request(1)) if isinstance(a, Probe))
-    for endpoint in policy.endpoints.by_id:
-        policy.handle(START, ProbeFinished(endpoint, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
+    (probe,) = actions_of(policy.handle(START, make_request(1)), Probe)
+    for endpoint_id in policy.endpoints.by_id:
+        policy.handle(START, ProbeFinished(endpoint_id, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
     policy.handle(START, ProbeFinished(probe.endpoint_id, Outcome.OK, 0.01, ()))
-    silent = policy.concurrency_limiter.estimated_load(policy.endpoints.by_id[probe.endpoint_id].load_report)
-    assert all(
-        silent > policy.concurrency_limiter.estimated_load(endpoint.load_report) - 0.5
-        for endpoint in policy.endpoints.ready
-    )
+    silent = estimated_load(policy, policy.endpoints.by_id[probe.endpoint_id])
+    assert all(silent > estimated_load(policy, endpoint) - 0.5 for endpoint in policy.endpoints.ready)
     assert silent > 1 + policy.concurrency_limiter.mean_load
 
 
-@pytest.mark.parametrize(("columns", "asks"), [("latency_ms", False), ("latency_ms,inflight", True)])
-def test_probes_are_sent_only_for_reports_that_have_a_load(columns: str, asks: bool) -> None:
+@pytest.mark.parametrize(
+    ("columns", "probes"),
+    [
+        pytest.param("latency_ms", False, id="without-load"),
+        pytest.param("latency_ms,inflight", True, id="with-load"),
+    ],
+)
+def test_probes_are_sent_only_for_reports_that_have_a_load(*, columns: str, probes: bool) -> None:
     policy = make_policy(caps__may_probe="true", report__how="pull", report__columns=columns)
-    found = [
-        a
-        for request_id in range(20)
-        for a in run_event(
-            policy, FakeCounter(), START + request_id, make_request(request_id, customer=request_id)
-        )
-    ]
-    assert any(isinstance(a, Probe) for a in found) == asks
+    actions: list[Action] = []
+    for request_id in range(20):
+        request = make_request(request_id, customer=request_id)
+        actions += run_event(policy, FakeCounter(), START + request_id, request)
+    assert bool(actions_of(actions, Probe)) == probes
 
 
 def test_a_failed_connection_ejects_an_endpoint_until_its_latency_fades() -> None:
     policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
-    (sent,) = started_attempts(policy.handle(START, make_request(1)))
-    policy.handle(START + 0.25, make_finished(1, sent, Outcome.CONNECT_FAILED))
-    endpoint = policy.endpoints.by_id[sent.endpoint_id]
-    at_once = expected_latency(policy, endpoint)
+    (attempt,) = started_attempts(policy.handle(START, make_request(1)))
+    policy.handle(START + 0.25, make_finished(1, attempt, Outcome.CONNECT_FAILED))
+    endpoint = policy.endpoints.by_id[attempt.endpoint_id]
+    mean_latency = policy.concurrency_limiter.mean_latency
+    assert expected_latency(policy, endpoint) > 5 * mean_latency
     policy.context.now = START + 30
-    assert at_once > 5 * policy.concurrency_limiter.mean_latency
-    assert expected_latency(policy, endpoint) < 1.1 * policy.concurrency_limiter.mean_latency
+    assert expected_latency(policy, endpoint) < 1.1 * mean_latency
     assert policy.concurrency_limiter.concurrency_limit == pytest.approx(12 / 3)
 
 
+# It still responds to other classes, so its last response says nothing of this one.
 def test_an_endpoint_silent_for_one_class_is_the_last_choice_for_that_class_only() -> None:
-    """It still responds to other classes, so its last response says nothing of this one."""
     policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
-    (sent,) = started_attempts(policy.handle(START, make_request(1)))
-    silent = policy.endpoints.by_id[sent.endpoint_id]
+    (attempt,) = started_attempts(policy.handle(START, make_request(1)))
     policy.handle(START + 2.0, TimerFired(1))
-    detector = silent.outlier_detector
+    detector = policy.endpoints.by_id[attempt.endpoint_id].outlier_detector
     detector.last_response_at = START + 2.0
     detector.last_outcome_at = START + 2.0
     assert 0 in detector.silent_classes
     assert 1 not in detector.silent_classes
-    (again,) = started_attempts(policy.handle(START + 2.5, make_request(2)))
-    assert again.endpoint_id != sent.endpoint_id
-    policy.handle(START + 2.6, make_finished(1, sent, Outcome.OK, closed=True))
+    (later,) = started_attempts(policy.handle(START + 2.5, make_request(2)))
+    assert later.endpoint_id != attempt.endpoint_id
+    policy.handle(START + 2.6, make_finished(1, attempt, Outcome.OK, closed=True))
     assert not detector.silent_classes
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from gateway.policy.endpoints import Endpoint
+from gateway.policy.engine import Policy
 from gateway.policy.events import (
-    AttemptFinished,
     EndpointRecord,
     EndpointState,
     EndpointUpdate,
@@ -20,6 +20,7 @@
 )
 from gateway.policy.pending_request import PendingRequest
 from gateway.policy.subsetting import MIN_GATEWAYS_PER_ENDPOINT, MIN_SUBSET_SIZE, choose_subset, ring_offset
+from tests.support.endpoints import endpoint_ids
 from tests.support.policy import (
     START,
     FakeCounter,
@@ -31,119 +32,174 @@
     started_attempts,
 )
 
+GATEWAY_COUNT = 40
+ENDPOINT_COUNT = 60
+NEIGHBOURS = 8  # gateways of one customer
 
-@pytest.mark.parametrize(("peers", "count"), [(40, 60), (40, 96), (17, 60), (100, 31)])
-def test_every_endpoint_has_about_as_many_gateways(peers: int, count: int) -> None:
-    sharers = Counter(n for me in range(peers) for n in choose_subset(count, lambda _: True, me, peers))
-    assert len(sharers) == count
-    assert min(sharers.values()) >= MIN_GATEWAYS_PER_ENDPOINT - 1
-    assert max(sharers.values()) - min(sharers.values()) <= 2
 
+def all_warm(_position: int) -> bool:
+    return True
 
-@pytest.mark.parametrize(("peers", "count"), [(1, 40), (2, 10), (4, 14), (8, 60)])
-def test_a_small_fleets_subset_is_all_endpoints(peers: int, count: int) -> None:
-    for me in range(peers):
-        assert sorted(choose_subset(count, lambda _: True, me, peers)) == list(range(count))
 
+def all_cold(_position: int) -> bool:
+    return False
 
-def test_gateways_in_a_row_have_different_subsets() -> None:
-    places = [ring_offset(me, 40) for me in range(40)]
-    assert len(set(places)) == 40
-    rows = [
-        Counter(n for me in range(at, at + 8) for n in choose_subset(60, lambda _: True, me, 40))
-        for at in range(32)
-    ]
-    assert all(len(row) >= 45 for row in rows)
+
+@pytest.mark.parametrize(
+    ("gateway_count", "endpoint_count"),
+    [
+        pytest.param(40, 60, id="40-gateways-60-endpoints"),
+        pytest.param(40, 96, id="40-gateways-96-endpoints"),
+        pytest.param(17, 60, id="17-gateways-60-endpoints"),
+        pytest.param(100, 31, id="100-gateways-31-endpoints"),
+    ],
+)
+def test_every_endpoint_has_about_as_many_gateways(gateway_count: int, endpoint_count: int) -> None:
+    gateways_at = Counter(
+        position
+        for index in range(gateway_count)
+        for position in choose_subset(endpoint_count, all_warm, index, gateway_count)
+    )
+    assert len(gateways_at) == endpoint_count
+    assert min(gateways_at.values()) >= MIN_GATEWAYS_PER_ENDPOINT - 1
+    assert max(gateways_at.values()) - min(gateways_at.values()) <= 2
+
+
+@pytest.mark.parametrize(
+    ("gateway_count", "endpoint_count"),
+    [
+        pytest.param(1, 40, id="1-gateway-40-endpoints"),
+        pytest.param(2, 10, id="2-gateways-10-endpoints"),
+        pytest.param(4, 14, id="4-gateways-14-endpoints"),
+        pytest.param(8, 60, id="8-gateways-60-endpoints"),
+    ],
+)
+def test_a_small_fleets_subset_is_all_endpoints(gateway_count: int, endpoint_count: int) -> None:
+    for index in range(gateway_count):
+        subset = choose_subset(endpoint_count, all_warm, index, gateway_count)
+        assert sorted(subset) == list(range(endpoint_count))
+
+
+def test_neighbouring_gateways_have_different_subsets() -> None:
+    offsets = [ring_offset(index, GATEWAY_COUNT) for index in range(GATEWAY_COUNT)]
+    assert len(set(offsets)) == GATEWAY_COUNT
+    for first in range(GATEWAY_COUNT - NEIGHBOURS):
+        positions = {
+            position
+            for index in range(first, first + NEIGHBOURS)
+            for position in choose_subset(ENDPOINT_COUNT, all_warm, index, GATEWAY_COUNT)
+        }
+        assert len(positions) >= 45
 
 
 def test_endpoints_in_slow_start_come_on_top() -> None:
-    warm = [n % 3 > 0 for n in range(60)]
-    for me in range(40):
-        assert sum(warm[n] for n in choose_subset(len(warm), warm.__getitem__, me, 40)) == MIN_SUBSET_SIZE
+    warm = [position % 3 > 0 for position in range(ENDPOINT_COUNT)]
+    for index in range(GATEWAY_COUNT):
+        subset = choose_subset(len(warm), warm.__getitem__, index, GATEWAY_COUNT)
+        assert sum(warm[position] for position in subset) == MIN_SUBSET_SIZE
+
+
+def test_without_endpoints_the_subset_is_empty() -> None:
+    assert choose_subset(0, all_warm, 3, GATEWAY_COUNT) == []
 
 
-def test_no_endpoints_or_only_cold_ones() -> None:
-    assert choose_subset(0, lambda _: True, 3, 40) == []
-    assert sorted(choose_subset(30, lambda _: False, 3, 40)) == list(range(30))
+def test_where_all_endpoints_are_cold_the_subset_is_all() -> None:
+    assert sorted(choose_subset(30, all_cold, 3, GATEWAY_COUNT)) == list(range(30))
 
 
 def test_a_gateway_of_many_uses_few_endpoints_and_others_when_those_are_gone() -> None:
-    fleet = [make_record(n) for n in range(1, 61)]
-    policy = make_policy(fleet, peers_total="40", me="7")
-    counter, used = FakeCounter(), set()
+    records = [make_record(endpoint_id) for endpoint_id in range(1, ENDPOINT_COUNT + 1)]
+    policy = make_policy(records, peers_total=str(GATEWAY_COUNT), me="7")
+    counter = FakeCounter()
+    used = set()
     for request_id in range(200):
-        (send,) = started_attempts(
-            run_event(policy, counter, START + request_id, make_request(request_id, customer=request_id))
-        )
-        used.add(send.endpoint_id)
-        run_event(
-            policy,
-            counter,
-            START + request_id + 0.1,
-            AttemptFinished(request_id, 0, send.endpoint_id, Outcome.OK, True, 0.1, 0, 0, ()),
-        )
+        now = START + request_id
+        request = make_request(request_id, customer=request_id)
+        (attempt,) = started_attempts(run_event(policy, counter, now, request))
+        used.add(attempt.endpoint_id)
+        finished = make_finished(request_id, attempt, Outcome.OK, closed=True)
+        run_event(policy, counter, now + 0.1, finished)
     assert len(used) <= MIN_SUBSET_SIZE
-    gone = tuple(make_record(n, state=EndpointState.GONE) for n in used)
+    gone = tuple(make_record(endpoint_id, state=EndpointState.GONE) for endpoint_id in used)
     policy.handle(START + 300, EndpointUpdate(UpdateKind.DELTA, 2, gone))
-    (send,) = started_attempts(run_event(policy, counter, START + 300, make_request(999, customer=999)))
-    assert send.endpoint_id not in used
+    (attempt,) = started_attempts(run_event(policy, counter, START + 300, make_request(999, customer=999)))
+    assert attempt.endpoint_id not in used
 
 
-# A request must not cost what the whole list does, and the choice must not change by that: each list of
+class CandidateRecorder:
+    """Stands in for LoadBalancer.best_of and compares its candidates to a walk through all endpoints."""
+
+    def __init__(self, policy: Policy) -> None:
+        self.policy = policy
+        self.best_of = policy.load_balancer.best_of
+        self.candidates: list[list[int]] = []  # of the event that is handled, one list a call
+
+    def __call__(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
+        endpoints = self.policy.endpoints
+        if len(endpoints.subset) < len(endpoints.ready):
+            walk = self.outside_subset(pending) if self.candidates else self.inside_subset(pending)
+            assert endpoint_ids(candidates) == walk
+        self.candidates.append(endpoint_ids(candidates))
+        return self.best_of(pending, candidates)
+
+    def inside_subset(self, pending: PendingRequest) -> list[int]:
+        subset_ids = set(endpoint_ids(self.policy.endpoints.subset))
+        allowed = self.policy.retries.allowed_endpoints(pending)
+        return [endpoint_id for endpoint_id in endpoint_ids(allowed) if endpoint_id in subset_ids]
+
+    def outside_subset(self, pending: PendingRequest) -> list[int]:
+        subset_ids = set(endpoint_ids(self.policy.endpoints.subset))
+        capacity_fraction = self.policy.slow_start.capacity_fraction
+        allowed = self.policy.retries.allowed_endpoints(pending)
+        warm = [endpoint for endpoint in allowed if capacity_fraction(endpoint.record.started_at) >= 1]
+        return [endpoint_id for endpoint_id in endpoint_ids(warm) if endpoint_id not in subset_ids]
+
+
+# A request must not cost what the endpoint list does, and the choice must not change by that: each list of
 # candidates is the one that a walk through all endpoints gives.
 @given(
     st.lists(st.tuples(st.integers(1, 60), st.sampled_from(EndpointState), st.booleans()), max_size=30),
-    st.integers(0, 39),
+    st.integers(0, GATEWAY_COUNT - 1),
     st.integers(0, 1 << 16),
 )
 @settings(max_examples=60, deadline=None)
 def test_candidates_are_those_of_a_walk_through_all_endpoints(
-    changes: list[tuple[int, EndpointState, bool]], me: int, seed: int
+    updates: list[tuple[int, EndpointState, bool]], gateway_index: int, seed: int
 ) -> None:
-    listed = [make_record(n, cell=n % 3) for n in range(1, 41)]
-    policy = make_policy(listed, seed, me=str(me), peers_total="40", tariffs__0__quota_rate="0")
-    for version, (number, state, cold) in enumerate(changes, 2):
-        told = make_record(number, cell=number % 3, state=state, started=START if cold else 0.0)
-        policy.handle(START, EndpointUpdate(UpdateKind.DELTA, version, (told,)))
-    looked: list[list[int]] = []
-    best = policy.load_balancer.best_of
-
-    def recorded(pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
-        near = {b.record.endpoint_id for b in policy.endpoints.subset}
-        if len(policy.endpoints.subset) < len(policy.endpoints.ready):
-            allowed = policy.retries.allowed_endpoints(pending)
-            fraction = policy.slow_start.capacity_fraction
-            others = [
-                b for b in allowed if b.record.endpoint_id not in near and fraction(b.record.started_at) >= 1
-            ]
-            walk = others if looked else [b for b in allowed if b.record.endpoint_id in near]
-            assert [b.record.endpoint_id for b in candidates] == [b.record.endpoint_id for b in walk]
-        looked.append([b.record.endpoint_id for b in candidates])
-        return best(pending, candidates)
-
-    policy.load_balancer.best_of = recorded  # type: ignore[method-assign]
+    records = [make_record(endpoint_id, cell=endpoint_id % 3) for endpoint_id in range(1, 41)]
+    changes = {"me": str(gateway_index), "peers_total": str(GATEWAY_COUNT), "tariffs__0__quota_rate": "0"}
+    policy = make_policy(records, seed, **changes)
+    for version, (endpoint_id, state, cold) in enumerate(updates, 2):
+        started = START if cold else 0.0
+        record = make_record(endpoint_id, cell=endpoint_id % 3, state=state, started=started)
+        policy.handle(START, EndpointUpdate(UpdateKind.DELTA, version, (record,)))
+    recorder = CandidateRecorder(policy)
+    policy.load_balancer.best_of = recorder  # type: ignore[method-assign]
     for request_id in range(10):
-        looked.clear()
-        found = policy.handle(START + request_id, make_request(request_id, cls=request_id % 2))
-        assert bool(started_attempts(found)) <= bool(looked)
-        for send in started_attempts(found):
-            looked.clear()
-            policy.handle(START + request_id, make_finished(request_id, send, Outcome.RESET))
+        now = START + request_id
+        recorder.candidates.clear()
+        attempts = started_attempts(policy.handle(now, make_request(request_id, cls=request_id % 2)))
+        assert bool(attempts) <= bool(recorder.candidates)
+        for attempt in attempts:
+            recorder.candidates.clear()
+            policy.handle(now, make_finished(request_id, attempt, Outcome.RESET))
 
 
 def test_a_request_does_not_look_at_endpoints_outside_the_subset() -> None:
-    looked = 0
+    looks = 0
 
-    class Watched(EndpointRecord):
+    class WatchedRecord(EndpointRecord):
         """A record that counts the looks at it."""
 
         def __getattribute__(self, name: str) -> Any:
-            nonlocal looked
-            looked += name == "endpoint_id"
+            nonlocal looks
+            looks += name == "endpoint_id"
             return super().__getattribute__(name)
 
-    listed = [Watched(n, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for n in range(1, 2001)]
-    policy = make_policy(listed, 1, peers_total="2000", tariffs__0__quota_rate="0")
-    looked = 0
+    records = [
+        WatchedRecord(endpoint_id, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for endpoint_id in range(1, 2001)
+    ]
+    policy = make_policy(records, 1, peers_total="2000", tariffs__0__quota_rate="0")
+    looks = 0
     assert started_attempts(policy.handle(START, make_request(1)))
-    assert 0 < looked < 100
+    assert 0 < looks < 100
