--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -6,11 +6,13 @@
 
 from gateway.policy.actions import Action, Cancel, Fail, Reject, StartAttempt
 from gateway.policy.context import TICK_SECONDS
+from gateway.policy.engine import Policy
 from gateway.policy.events import (
     ClientDisconnected,
     Outcome,
     TimerFired,
 )
+from tests.support.endpoints import actions_of
 from tests.support.policy import (
     START,
     FakeCounter,
@@ -23,22 +25,24 @@
     started_attempts,
 )
 
+HUNG_ENDPOINT = 3
+
 
 def test_no_retry_when_an_attempt_times_out_a_little_early() -> None:
     policy = make_policy(caps__second_copies="false")
     sent = start_request(policy, 1)
-    found = policy.handle(START + 4.0 - 0.031, make_finished(1, sent, Outcome.TIMEOUT))
-    assert not started_attempts(found)
-    assert [a for a in found if isinstance(a, Reject)]
+    actions = policy.handle(START + 4.0 - 0.031, make_finished(1, sent, Outcome.TIMEOUT))
+    assert not started_attempts(actions)
+    assert actions_of(actions, Reject)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT])
 def test_non_idempotent_requests_that_may_have_been_executed_fail(outcome: Outcome) -> None:
     policy = make_policy()
     sent = start_request(policy, 1, cls=2)
-    found = policy.handle(START + 0.2, make_finished(1, sent, outcome))
-    assert Fail(1) in found
-    assert not started_attempts(found)
+    actions = policy.handle(START + 0.2, make_finished(1, sent, outcome))
+    assert Fail(1) in actions
+    assert not started_attempts(actions)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
@@ -55,85 +59,127 @@
     (again,) = started_attempts(policy.handle(START + 0.2, make_finished(1, sent, Outcome.ERROR)))
     assert again.endpoint_id % 2 == sent.endpoint_id % 2
     assert again.endpoint_id != sent.endpoint_id
-    found = policy.handle(START + 2.1, make_finished(1, again, Outcome.ERROR, attempt=1))
-    assert Fail(1) in found
-    assert not started_attempts(found)
-
-
-# A retry may wait for its connection, and must not arrive after the endpoints have forgotten its key.
-def test_a_retry_with_a_key_leaves_time_for_a_connection() -> None:
-    for after, again in ((1.6, True), (1.8, False)):
-        policy, counter = make_policy(), FakeCounter()
-        (send,) = started_attempts(run_event(policy, counter, START, make_request(1, cls=1)))
-        found = run_event(policy, counter, START + after, make_finished(1, send, Outcome.ERROR))
-        assert bool(started_attempts(found)) == again  # a window of 2 s, 0.25 s to connect
-
-
-# No attempt is started for a disconnected client, whether one is in flight, has just failed and waits for
-# capacity, or has a hedged request beside it.
-@pytest.mark.parametrize("state", ["in_flight", "between", "hedged"])
-def test_no_retry_for_a_disconnected_client(state: str) -> None:
-    policy, counter = make_policy(classes__0__goal_time_s="4.0"), FakeCounter()
-    if state == "between":  # another request takes all capacity
-        assert started_attempts(run_event(policy, counter, START, make_request(9, customer=9)))
-    (first,) = started_attempts(run_event(policy, counter, START, make_request(1)))
-    in_flight = [first]
-    if state == "between":
-        policy.concurrency_limiter.concurrency_limit = 1e-9
-        assert not started_attempts(
-            run_event(policy, counter, START + 0.01, make_finished(1, in_flight.pop(), Outcome.OVERLOADED))
-        )
-        assert [pending.request.request_id for pending in policy.queue.waiting] == [1]
-    if state == "hedged":
-        in_flight += [
-            s
-            for s in started_attempts(run_event(policy, counter, START + 2.5, TimerFired(1)))
-            if s.request_id == 1
-        ]
-        assert len(in_flight) == 2
+    actions = policy.handle(START + 2.1, make_finished(1, again, Outcome.ERROR, attempt=1))
+    assert Fail(1) in actions
+    assert not started_attempts(actions)
+
+
+# A retry may wait for its connection, and must not arrive after the endpoints have forgotten its key: the
+# window is 2 s, and a connection takes up to 0.25 s.
+@pytest.mark.parametrize(
+    ("failed_after", "is_retried"),
+    [pytest.param(1.6, True, id="in-time"), pytest.param(1.8, False, id="late")],
+)
+def test_a_retry_with_a_key_leaves_time_for_a_connection(*, failed_after: float, is_retried: bool) -> None:
+    policy = make_policy()
+    counter = FakeCounter()
+    (attempt,) = started_attempts(run_event(policy, counter, START, make_request(1, cls=1)))
+    finished = make_finished(1, attempt, Outcome.ERROR)
+    actions = run_event(policy, counter, START + failed_after, finished)
+    assert bool(started_attempts(actions)) == is_retried
+
+
+def assert_not_retried_when_disconnected(policy: Policy, in_flight: list[StartAttempt]) -> None:
+    """Check that request 1 gets no attempt once its client is gone, whatever becomes of those in flight."""
+    counter = FakeCounter()
     now = policy.context.now
     policy.handle(now, ClientDisconnected(1))
-    policy.concurrency_limiter.concurrency_limit, found = 10.0, []
-    for number, send in enumerate(in_flight):
-        found += run_event(policy, counter, now + 0.1, make_finished(1, send, Outcome.OVERLOADED, number))
-    for step in range(8):
-        found += run_event(policy, counter, now + 0.1 + step * TICK_SECONDS, TimerFired(1))
-    assert 1 not in [send.request_id for send in started_attempts(found)]
+    policy.concurrency_limiter.concurrency_limit = 10.0
+    actions: list[Action] = []
+    for number, attempt in enumerate(in_flight):
+        finished = make_finished(1, attempt, Outcome.OVERLOADED, number)
+        actions += run_event(policy, counter, now + 0.1, finished)
+    for tick in range(8):
+        actions += run_event(policy, counter, now + 0.1 + tick * TICK_SECONDS, TimerFired(1))
+    assert 1 not in [attempt.request_id for attempt in started_attempts(actions)]
     assert 1 not in policy.pending
 
 
+def test_no_retry_for_a_disconnected_client_with_an_attempt_in_flight() -> None:
+    policy = make_policy(classes__0__goal_time_s="4.0")
+    (attempt,) = started_attempts(run_event(policy, FakeCounter(), START, make_request(1)))
+    assert_not_retried_when_disconnected(policy, [attempt])
+
+
+def test_no_retry_for_a_disconnected_client_whose_request_waits_for_capacity() -> None:
+    policy = make_policy(classes__0__goal_time_s="4.0")
+    counter = FakeCounter()
+    assert started_attempts(run_event(policy, counter, START, make_request(9, customer=9)))
+    (attempt,) = started_attempts(run_event(policy, counter, START, make_request(1)))
+    policy.concurrency_limiter.concurrency_limit = 1e-9
+    finished = make_finished(1, attempt, Outcome.OVERLOADED)
+    assert not started_attempts(run_event(policy, counter, START + 0.01, finished))
+    assert [pending.request.request_id for pending in policy.queue.waiting] == [1]
+    assert_not_retried_when_disconnected(policy, [])
+
+
+def test_no_retry_for_a_disconnected_client_with_a_hedged_request() -> None:
+    policy = make_policy(classes__0__goal_time_s="4.0")
+    counter = FakeCounter()
+    (attempt,) = started_attempts(run_event(policy, counter, START, make_request(1)))
+    (hedged,) = started_attempts(run_event(policy, counter, START + 2.5, TimerFired(1)))
+    assert hedged.request_id == 1
+    assert_not_retried_when_disconnected(policy, [attempt, hedged])
+
+
 def test_no_hedged_request_where_none_is_allowed() -> None:
     policy = make_policy(caps__second_copies="false", classes__0__goal_time_s="4.0")
     start_request(policy, 1)
-    found: list[Action] = []
-    for n in range(1, 80):
-        found += policy.handle(START + n * TICK_SECONDS, TimerFired(1))
-    assert not started_attempts(found)
-    assert Cancel(1, 0) in found
+    actions: list[Action] = []
+    for tick in range(1, 80):
+        actions += policy.handle(START + tick * TICK_SECONDS, TimerFired(1))
+    assert not started_attempts(actions)
+    assert Cancel(1, 0) in actions
+
+
+class FleetWithHungEndpoint:
+    """A policy whose endpoints respond after 0.3 s, but for one that never does."""
+
+    def __init__(self) -> None:
+        self.policy = make_policy(tariffs__0__quota_rate="0", classes__0__goal_time_s="4.0")
+        self.counter = FakeCounter()
+        self.in_flight: list[tuple[float, StartAttempt, int]] = []
+
+    def send(self, now: float, request_id: int) -> list[StartAttempt]:
+        """Send a request and fire the timer; return the attempts that are started, also for others."""
+        actions = run_event(self.policy, self.counter, now, make_request(request_id))
+        attempts = started_attempts(actions + self.policy.handle(now, TimerFired(1)))
+        for attempt in attempts:
+            number = 0 if attempt.request_id == request_id else 1
+            self.in_flight.append((now + 0.3, attempt, number))
+        return attempts
+
+    def respond(self, now: float) -> None:
+        """Finish the attempts that have had their response by now."""
+        responding = [
+            entry for entry in self.in_flight if entry[0] <= now and entry[1].endpoint_id != HUNG_ENDPOINT
+        ]
+        for entry in responding:
+            self.in_flight.remove(entry)
+            _, attempt, number = entry
+            finished = make_finished(attempt.request_id, attempt, Outcome.OK, number, closed=True)
+            self.policy.handle(now, finished)
 
 
 def test_a_silent_endpoint_is_avoided_and_its_requests_are_hedged() -> None:
-    policy, counter = make_policy(tariffs__0__quota_rate="0", classes__0__goal_time_s="4.0"), FakeCounter()
-    hung, later, rescued = 3, 0, 0
-    in_flight: list[tuple[float, StartAttempt, int]] = []
+    fleet = FleetWithHungEndpoint()
+    late_attempts_at_hung = 0
+    hedged_requests = 0
     for request_id in range(200):
         now = START + request_id * 0.05
-        found = run_event(policy, counter, now, make_request(request_id)) + policy.handle(now, TimerFired(1))
-        for sent in started_attempts(found):
-            later += sent.endpoint_id == hung and request_id > 60
-            rescued += sent.request_id != request_id
-            in_flight.append((now + 0.3, sent, int(sent.request_id != request_id)))
-        for at, sent, attempt in [o for o in in_flight if o[0] <= now and o[1].endpoint_id != hung]:
-            in_flight.remove((at, sent, attempt))
-            policy.handle(now, make_finished(sent.request_id, sent, Outcome.OK, attempt, closed=True))
-    assert rescued >= 1
-    assert later <= 5
+        for attempt in fleet.send(now, request_id):
+            if attempt.endpoint_id == HUNG_ENDPOINT and request_id > 60:
+                late_attempts_at_hung += 1
+            if attempt.request_id != request_id:
+                hedged_requests += 1
+        fleet.respond(now)
+    assert hedged_requests >= 1
+    assert late_attempts_at_hung <= 5
 
 
 def test_a_request_that_no_endpoint_accepted_is_rejected_with_retry_after() -> None:
-    policy, counter = make_policy([make_record(1)]), FakeCounter()
-    (send,) = started_attempts(run_event(policy, counter, START, make_request(1, cls=2)))
-    late = START + 3.99
-    (rejection,) = policy.handle(late, make_finished(1, send, Outcome.OVERLOADED))[:1]
+    policy = make_policy([make_record(1)])
+    (attempt,) = started_attempts(run_event(policy, FakeCounter(), START, make_request(1, cls=2)))
+    rejection, *_ = policy.handle(START + 3.99, make_finished(1, attempt, Outcome.OVERLOADED))
     assert isinstance(rejection, Reject)
     assert rejection.retry_after > 0
