--- /dev/null
+++ b/tests/policy/test_counter_calls.py
@@ -0,0 +1,47 @@
+"""The calls that request a lease: how many there are, and who waits for them."""
+
+from __future__ import annotations
+
+from gateway.policy.actions import StartAttempt
+from gateway.policy.engine import Policy
+from tests.support.policy import (
+    START,
+    FakeCounter,
+    counter_calls,
+    make_policy,
+    make_request,
+    only_lease,
+    run_event,
+    serve,
+    started_attempts,
+)
+
+
+def test_further_requests_wait_for_the_lease_in_flight(policy: Policy) -> None:
+    (first_call,) = counter_calls(policy.handle(START, make_request(0)))
+    found = run_event(policy, FakeCounter(), START, FakeCounter().answer(first_call))
+    assert first_call.amount == round(8.0 / 3)
+    assert {attempt.request_id for attempt in started_attempts(found)} == {0}
+    only_lease(policy).credits = 0.0
+    first = policy.handle(START, make_request(1))
+    second = policy.handle(START, make_request(2))
+    assert len(counter_calls(first)) == 1
+    assert not counter_calls(second)
+    assert not [action for action in second if isinstance(action, StartAttempt)]
+    (call,) = counter_calls(first)
+    answered = run_event(policy, FakeCounter(), START, FakeCounter().answer(call))
+    assert {attempt.request_id for attempt in started_attempts(answered)} == {1, 2}
+
+
+def test_the_first_lease_is_the_gateways_part_of_the_window(policy: Policy, counter: FakeCounter) -> None:
+    run_event(policy, counter, START, make_request(1))
+    assert only_lease(policy).credits + 1 == round(8.0 / 3)
+
+
+def test_the_first_lease_of_a_known_customer_takes_one_call(counter: FakeCounter) -> None:
+    fleet = [make_policy(me=str(index), peers_total="20") for index in range(20)]
+    for index, gateway in enumerate(fleet[:8]):
+        calls = counter.calls
+        assert serve(gateway, counter, START, index, gateway_set_size=20)
+        most = 1 if index else 2  # the first one adds the overflow too
+        assert counter.calls - calls <= most
