--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -29,3 +29,16 @@
     assert bucket.tokens == -2.0
     bucket.consume(3.0, lowest=-4.0)
     assert bucket.tokens == -4.0
+
+
+def test_an_overdrawn_bucket_must_accrue_what_it_owes() -> None:
+    bucket = TokenBucket(tokens=1.0, updated_at=10.0)
+    bucket.consume(4.0)
+    assert bucket.refill(11.0, rate=2.0, capacity=8.0) == -1.0
+    assert bucket.refill(12.0, rate=2.0, capacity=8.0) == 1.0
+
+
+def test_a_reset_forgets_the_tokens_and_the_time() -> None:
+    bucket = TokenBucket(tokens=-3.0, updated_at=10.0)
+    bucket.reset(0.5, 20.0)
+    assert bucket.available(20.0, rate=2.0, capacity=8.0) == 0.5
