--- /dev/null
+++ b/tests/policy/test_local_admission.py
@@ -0,0 +1,75 @@
+"""What is admitted by the local quota, while the counter is not to be asked."""
+
+from __future__ import annotations
+
+from gateway.policy.engine import Policy
+from gateway.policy.events import Outcome, ProbeFinished
+from tests.support.policy import (
+    START,
+    FakeCounter,
+    SpentCounter,
+    make_finished,
+    make_policy,
+    make_request,
+    only_lease,
+    run_event,
+    serve,
+    started_attempts,
+)
+
+
+def test_an_unresponsive_counter_leaves_the_local_quota(policy: Policy, counter: FakeCounter) -> None:
+    counter.outcome = Outcome.TIMEOUT
+    admitted = sum(serve(policy, counter, START + request_id / 10, request_id) for request_id in range(300))
+    assert 60 * 0.8 <= admitted <= 60 * 1.2  # 30 s of half the rate: 3 gateways, over_cost 1
+
+
+def admitted_unknown_customers(units_by_others: float) -> int:
+    """Return how many of 300 new customers are admitted once the counter fails, after leases of others."""
+    policy = make_policy(peers_total="100", caps__probes="false")
+    counter = SpentCounter()
+    counter.by_others = units_by_others
+    for customer in range(1000, 1040):
+        serve(policy, counter, START + customer - 1000, customer, customer=customer, gateway_set_size=100)
+    policy.counter_rate_limiter.failure_ratio.value = 1.0  # the counter is unavailable from here on
+    return sum(
+        serve(policy, counter, START, customer, customer=customer, gateway_set_size=100)
+        for customer in range(2000, 2300)
+    )
+
+
+# Of many gateways each sees most customers for the first time.  Where the counter takes few calls, customers
+# within their quotas must not all be rejected; where leases are denied, few are to be admitted.
+def test_an_unknown_customers_first_request_is_admitted_by_the_plans_grant_ratio() -> None:
+    after_grants = admitted_unknown_customers(0.0)
+    after_denials = admitted_unknown_customers(1e3)
+    assert after_grants > 2 * after_denials
+    assert after_denials > 0
+
+
+def test_at_high_utilization_only_the_counter_admits_unless_it_is_unavailable() -> None:
+    """Hundreds of gateways must not each admit a first request while the endpoints are overloaded."""
+    policy = make_policy(
+        caps__may_probe="true", report__how="pull", report__columns="inflight", peers_total="300"
+    )
+    for _ in range(30):
+        policy.handle(START, ProbeFinished(1, Outcome.OK, 0.01, (40.0,)))
+    policy.handle(START, make_request(1))
+    assert not policy.local_admission.has_tokens(only_lease(policy), 1.0)
+    policy.counter_rate_limiter.failure_ratio.value = 1.0
+    assert policy.local_admission.has_tokens(only_lease(policy), 1.0)
+
+
+def test_the_local_quota_of_slots_refills_in_a_latency(counter: FakeCounter) -> None:
+    policy = make_policy(peers_total="100")
+    counter.outcome = Outcome.TIMEOUT
+    admitted = 0
+    for request_id in range(300):
+        now = START + request_id / 30
+        request = make_request(request_id, plan=2, gateway_set_size=100)
+        attempts = started_attempts(run_event(policy, counter, now, request))
+        admitted += len(attempts)
+        for attempt in attempts:
+            finished = make_finished(request_id, attempt, Outcome.OK, closed=True)
+            run_event(policy, counter, now + 0.01, finished)
+    assert 1 <= admitted <= 30
