--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -85,7 +85,7 @@
         if not lease.quota.are_credits_idle(now - lease.usage.last_used_at):
             return lease.credits <= EPSILON
         if not lease.ledger.is_scarce(now):
-            return True
+            return True  # no other gateway misses the credits
         if self.calls.rate_limiter.has_headroom():
             self.calls.return_units(lease, lease.take_credits())
         return lease.credits <= EPSILON
--- a/gateway/policy/local_admission.py
+++ b/gateway/policy/local_admission.py
@@ -32,7 +32,11 @@
         """Return the fraction of a quota to spend without the counter, from 1/gateways to 1.
 
         Under a ceiling it is 1/gateways.  Else it follows from the critical ratio of the cost of exceeding
-        the quota, and from the grant ratio: the plan's, as given, if the lease's own is not current.
+        the quota, and from the grant ratio.
+
+        Args:
+            lease: The lease.
+            plan_grant_ratio: Grant ratio of the plan's leases, used where the lease's own is not current.
         """
         quota = lease.quota
         plan = quota.plan
