--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -33,6 +33,9 @@
 class Admission:
     """Takes a credit of each of a request's leases before it is dispatched.
 
+    The engine calls `open` and `admit` for a new request, `stop_waiting` if its client disconnects, and
+    `release` at its end; it hands over the counter's replies, and calls `retry_deferred_leases` at each tick.
+
     Attributes:
         kinds_by_plan: The kinds of quota of each plan, in the order of the settings.
         tickets: What pending requests need and hold, by request id.
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -67,6 +67,9 @@
 class CounterCalls:
     """Requests, reports and returns units by calls to the counter.
 
+    Replies to the calls of one name come in their order.  `Admission` requests leases and acts on replies;
+    `LeaseTable` returns what is no longer needed.
+
     Attributes:
         pending_adds: The calls in flight by the counter's name, oldest first.
         plan_grant_ratios: Average of the requests that were granted in full, by the plan's name.
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -25,6 +25,7 @@
         enabled: Whether there is a counter.
         rate: Calls a second that this gateway may make.
         failure_ratio: Fraction of the calls that got no reply.
+        calls: The calls that may be made now.
     """
 
     def __init__(self, context: Context) -> None:
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -46,29 +46,29 @@
     "tariffs.count": "3",
 }
 EFFECTS = ("safe", "keyed", "unsafe")
-for n, effect in enumerate(EFFECTS):
+for index, effect in enumerate(EFFECTS):
     BASE |= {
-        f"classes.{n}.name": f"class-{n}",
-        f"classes.{n}.goal_time_s": "2.0",
-        f"classes.{n}.deadline_s": "4.0",
-        f"classes.{n}.effect": effect,
-        f"classes.{n}.dedup_scope": "cell",
-        f"classes.{n}.memory_span_s": "2.0",
-        f"classes.{n}.worth": "1.0",
+        f"classes.{index}.name": f"class-{index}",
+        f"classes.{index}.goal_time_s": "2.0",
+        f"classes.{index}.deadline_s": "4.0",
+        f"classes.{index}.effect": effect,
+        f"classes.{index}.dedup_scope": "cell",
+        f"classes.{index}.memory_span_s": "2.0",
+        f"classes.{index}.worth": "1.0",
     }
 PLANS: tuple[dict[str, str], ...] = (
     {"quota_rate": "4.0", "peak_units": "8.0", "over_cost": "1.0"},
     {"quota_rate": "4.0", "peak_units": "8.0", "never_over_rate": "8.0", "hard_burst": "16.0"},
     {"parallel": "2", "over_cost": "0.5"},
 )
-for n, plan in enumerate(PLANS):
-    BASE |= {f"tariffs.{n}.name": f"plan-{n}", f"tariffs.{n}.pays": "1.0"}
-    BASE |= {f"tariffs.{n}.{key}": value for key, value in plan.items()}
+for index, plan in enumerate(PLANS):
+    BASE |= {f"tariffs.{index}.name": f"plan-{index}", f"tariffs.{index}.pays": "1.0"}
+    BASE |= {f"tariffs.{index}.{key}": value for key, value in plan.items()}
 START = 100.0
 
 
 def settings_text(**changes: str) -> str:
-    """The settings text, with keys changed (dots written as double underscores)."""
+    """Return the settings text, with keys changed (dots written as double underscores)."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
@@ -143,13 +143,13 @@
 
 def make_policy(endpoints: Iterable[EndpointRecord] = (), seed: int = 1, /, **changes: str) -> Policy:
     policy = Policy(parse_settings(settings_text(**changes)), seed)
-    listed = tuple(endpoints) or tuple(make_record(n, cell=n % 2) for n in range(1, 7))
+    listed = tuple(endpoints) or tuple(make_record(endpoint, cell=endpoint % 2) for endpoint in range(1, 7))
     policy.handle(START, EndpointUpdate(UpdateKind.CACHED, 1, listed))
     return policy
 
 
 def make_fleet(count: int, **changes: str) -> list[Policy]:
-    """Gateways of one deployment."""
+    """Return gateways of one deployment."""
     return [make_policy(me=str(index), **changes) for index in range(count)]
 
 
@@ -166,7 +166,7 @@
 
 
 def serve(policy: Policy, counter: FakeCounter, now: float, request_id: int, **kind: int) -> bool:
-    """One request, served at once if an attempt was started; whether it was."""
+    """Send a request, and finish its attempt at once; return whether one was started."""
     sent = started_attempts(run_event(policy, counter, now, make_request(request_id, **kind)))
     for send in sent:
         run_event(policy, counter, now, make_finished(request_id, send, Outcome.OK, closed=True))
@@ -179,7 +179,7 @@
 
 
 def start_request(policy: Policy, request_id: int, **kind: int) -> StartAttempt:
-    """The first attempt of a new customer's request, which stays in flight."""
+    """Return the first attempt of a new customer's request, which stays in flight."""
     (sent,) = started_attempts(
         run_event(policy, FakeCounter(), START, make_request(request_id, customer=request_id, **kind))
     )
@@ -187,13 +187,13 @@
 
 
 def only_lease(policy: Policy) -> Lease:
-    """The lease of a gateway that has one."""
+    """Return the lease of a gateway that has one."""
     (lease,) = policy.leases.by_customer.values()
     return lease
 
 
 def quota_level(policy: Policy) -> float:
-    """The units that the only customer's quota of a gateway holds, as far as it knows."""
+    """Return the units that the only customer's quota of a gateway holds, as far as it knows."""
     ledger = only_lease(policy).ledger
     assert isinstance(ledger, RateLedger)
     return ledger.level(policy.context.now)
