--- a/gateway/config/parser.py
+++ b/gateway/config/parser.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.address import Address, parse_address
 from gateway.config import keys
@@ -12,10 +11,14 @@
 from gateway.config.section import Section, check_object, parse_root
 from gateway.config.settings_text import flatten, format_setting
 from gateway.config.values import Config
-from gateway.policy.settings import Settings
 from gateway.settings_parser import parse_settings
 from gateway.settings_reader import SettingsError
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from gateway.policy.settings import Settings
+
 MIN_SOCKETS = 64  # fewer leave nothing beside the reserved ones
 MIN_MEMORY_MEGABYTES = 16.0
 
--- a/gateway/config/section.py
+++ b/gateway/config/section.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Mapping
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
 from gateway.config.errors import ConfigError, InvalidValueError, MissingKeyError
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
 Converted = TypeVar("Converted")
 
 
--- a/gateway/config/settings_text.py
+++ b/gateway/config/settings_text.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
 
 def format_setting(value: object) -> str:
--- a/gateway/config/values.py
+++ b/gateway/config/values.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from gateway.address import Address
-from gateway.config.resource_limits import ResourceLimits
-from gateway.policy.settings import Settings
+if TYPE_CHECKING:
+    from gateway.address import Address
+    from gateway.config.resource_limits import ResourceLimits
+    from gateway.policy.settings import Settings
 
 
 @dataclass(slots=True, frozen=True)
--- a/gateway/counter/call.py
+++ b/gateway/counter/call.py
@@ -3,14 +3,17 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import ClassVar, Protocol
+from typing import TYPE_CHECKING, ClassVar, Protocol
 
 from gateway.counter import resp
-from gateway.policy.actions import AddToCounter
 from gateway.policy.events import CounterReply, Outcome
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.policy.actions import AddToCounter
+
 
 class CallCarrier(Protocol):
     """The connection that a call is queued for or was written to."""
--- a/gateway/counter/call_expiry.py
+++ b/gateway/counter/call_expiry.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
 from collections import deque
+from typing import TYPE_CHECKING
 
-from gateway.counter.call import CounterCall
+if TYPE_CHECKING:
+    import asyncio
+
+    from gateway.counter.call import CounterCall
 
 
 class CallExpiry:
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -4,14 +4,18 @@
 
 import asyncio
 import time
-from collections.abc import Callable, Coroutine
+from typing import TYPE_CHECKING
 
-from gateway.address import Address
 from gateway.counter.call import CounterCall
 from gateway.counter.call_expiry import CallExpiry
 from gateway.counter.connection import PING_INTERVAL_SECONDS, CounterConnection
-from gateway.policy.actions import AddToCounter
-from gateway.policy.events import CounterReply
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
+    from gateway.address import Address
+    from gateway.policy.actions import AddToCounter
+    from gateway.policy.events import CounterReply
 
 CONNECTION_COUNT = 4  # the counter accepts 32 of one gateway
 LIVENESS_CHECK_SECONDS = PING_INTERVAL_SECONDS / 2  # between checks of all connections
--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -6,16 +6,19 @@
 import enum
 import logging
 import time
-from collections.abc import Coroutine
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
-from gateway.address import Address
 from gateway.backoff import Backoff
 from gateway.counter.call import CounterCall, Ping
 from gateway.counter.call_pipeline import CallPipeline
 from gateway.counter.errors import MalformedReplyError
 from gateway.policy.events import Outcome
 
+if TYPE_CHECKING:
+    from collections.abc import Coroutine
+
+    from gateway.address import Address
+
 MAX_PENDING_CALLS = 1000  # on one connection, queued or written
 PING_INTERVAL_SECONDS = 2.0  # idle time after which a PING keeps the connection from being closed
 REPLY_TIMEOUT_SECONDS = 2.0  # silence while calls wait, after which the counter's machine is taken for lost
--- a/gateway/counter/resp.py
+++ b/gateway/counter/resp.py
@@ -4,14 +4,17 @@
 
 import re
 import reprlib
-from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import hiredis
 
 from gateway.counter.errors import MalformedReplyError
-from gateway.policy.actions import AddToCounter
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from gateway.policy.actions import AddToCounter
 
 ADD_COMMAND = "TALLY"  # AddToCounter: name, amount, expires_after in milliseconds
 PING = b"*1\r\n$4\r\nPING\r\n"
--- a/gateway/discovery/client.py
+++ b/gateway/discovery/client.py
@@ -4,12 +4,15 @@
 
 import asyncio
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from gateway.address import Address
-from gateway.discovery.endpoint_decoder import DecodedUpdate, EndpointDecoder
 from gateway.discovery.endpoint_watch import AgentWatch
 from gateway.policy.events import EndpointUpdate
 
+if TYPE_CHECKING:
+    from gateway.discovery.endpoint_decoder import DecodedUpdate, EndpointDecoder
+
 UpdateListener = Callable[[EndpointUpdate, dict[int, Address]], None]
 
 
--- a/gateway/discovery/connection_set.py
+++ b/gateway/discovery/connection_set.py
@@ -4,11 +4,15 @@
 
 import asyncio
 import time
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
-from gateway.address import Address
 from gateway.discovery.watch_connection import WatchConnection, WatchConsumer, WatchState
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from gateway.address import Address
+
 ATTEMPT_IDLE_TIMEOUT_SECONDS = 1.0  # without a byte; short, as the agent is on this machine
 SNAPSHOT_TIMEOUT_SECONDS = 5.0  # from the start of an attempt until its endpoint list is complete
 
--- a/gateway/discovery/endpoint_decoder.py
+++ b/gateway/discovery/endpoint_decoder.py
@@ -5,9 +5,8 @@
 import json
 import logging
 import reprlib
-from collections.abc import Callable
 from hashlib import blake2b
-from typing import Any, NamedTuple, TypeVar
+from typing import TYPE_CHECKING, Any, NamedTuple, TypeVar
 
 from gateway.address import Address, parse_address
 from gateway.config.settings_text import format_setting
@@ -15,6 +14,9 @@
 from gateway.discovery.errors import MalformedEndpointError, MalformedUpdateError
 from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 HEX_ID_PREFIX = "s"  # of a host name that carries the endpoint's id
 HEX_ID_LENGTH = 8  # digits
 HEX_DIGITS = frozenset("0123456789abcdef")
--- a/gateway/discovery/endpoint_watch.py
+++ b/gateway/discovery/endpoint_watch.py
@@ -2,19 +2,22 @@
 
 from __future__ import annotations
 
-import asyncio
 import logging
 import time
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from gateway.address import Address
 from gateway.discovery.connection_set import WatchConnectionSet
-from gateway.discovery.endpoint_decoder import DecodedUpdate, EndpointDecoder
 from gateway.discovery.errors import MalformedUpdateError
 from gateway.discovery.watch_connection import WatchConnection, WatchState
 from gateway.discovery.watch_supervisor import WatchSupervisor
 from gateway.policy.events import EndpointUpdate, UpdateKind
 
+if TYPE_CHECKING:
+    import asyncio
+
+    from gateway.address import Address
+    from gateway.discovery.endpoint_decoder import DecodedUpdate, EndpointDecoder
+
 SILENCE_TIMEOUT_SECONDS = 3.0  # a healthy agent sends a heartbeat every 2 s
 MAX_CONNECTIONS = 8  # to one agent, as each takes a file descriptor
 
--- a/gateway/discovery/watch_supervisor.py
+++ b/gateway/discovery/watch_supervisor.py
@@ -5,11 +5,13 @@
 import asyncio
 import contextlib
 import time
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from gateway.backoff import Backoff
-from gateway.discovery.connection_set import WatchConnectionSet
-from gateway.discovery.watch_connection import WatchConnection
+
+if TYPE_CHECKING:
+    from gateway.discovery.connection_set import WatchConnectionSet
+    from gateway.discovery.watch_connection import WatchConnection
 
 MIN_RETRY_DELAY_SECONDS = 0.25  # between attempts; well within the time that an endpoint drains for
 MAX_RETRY_DELAY_SECONDS = 0.5  # between attempts on an agent that responds
--- a/gateway/driver/action_executor.py
+++ b/gateway/driver/action_executor.py
@@ -3,14 +3,9 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from gateway.counter.client import CounterClient
 from gateway.driver.open_request import FAILED, REJECTED, Response
-from gateway.driver.open_requests import OpenRequests
-from gateway.driver.request_attempts import RequestAttempts
-from gateway.driver.timers import PolicyTimers
 from gateway.policy.actions import (
     Action,
     AddToCounter,
@@ -24,8 +19,16 @@
     StartAttempt,
 )
 from gateway.policy.events import CounterReply, Event, Outcome, ProbeFinished
-from gateway.upstream.attempt import AttemptResult
-from gateway.upstream.client import UpstreamClient
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.counter.client import CounterClient
+    from gateway.driver.open_requests import OpenRequests
+    from gateway.driver.request_attempts import RequestAttempts
+    from gateway.driver.timers import PolicyTimers
+    from gateway.upstream.attempt import AttemptResult
+    from gateway.upstream.client import UpstreamClient
 
 log = logging.getLogger(__name__)
 
--- a/gateway/driver/endpoint_connections.py
+++ b/gateway/driver/endpoint_connections.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
-from gateway.address import Address
+from typing import TYPE_CHECKING
+
 from gateway.policy.events import EndpointRecord, EndpointState, EndpointUpdate, UpdateKind
-from gateway.upstream.client import UpstreamClient
+
+if TYPE_CHECKING:
+    from gateway.address import Address
+    from gateway.upstream.client import UpstreamClient
 
 
 def apply_to_connections(
--- a/gateway/driver/event_queue.py
+++ b/gateway/driver/event_queue.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from gateway.policy.events import Event
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.policy.events import Event
 
 
 class EventQueue:
--- a/gateway/driver/open_request.py
+++ b/gateway/driver/open_request.py
@@ -3,14 +3,17 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from http import HTTPStatus
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from gateway.policy.events import Outcome, Request
-from gateway.policy.settings import Limits
-from gateway.upstream.attempt import Attempt
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.policy.settings import Limits
+    from gateway.upstream.attempt import Attempt
 
 # The statuses of responses.  Looked up once: access to a member through its class takes a Python call in
 # Python 3.11.
--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from gateway.driver.open_request import FAILED, REJECTED, TIMED_OUT, OpenRequest, RequestOwner, Response
 from gateway.policy.events import ClientDisconnected, Event, Outcome
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 RESPONSE_MARGIN_SECONDS = (
     0.015  # before the client's deadline; the driver then responds if the policy has not
 )
--- a/gateway/driver/policy_driver.py
+++ b/gateway/driver/policy_driver.py
@@ -3,21 +3,24 @@
 from __future__ import annotations
 
 import logging
+from typing import TYPE_CHECKING
 
-from gateway.address import Address
-from gateway.counter.client import CounterClient
 from gateway.driver.action_executor import ActionExecutor
 from gateway.driver.clock import UnixClock
 from gateway.driver.endpoint_connections import apply_to_connections
 from gateway.driver.event_queue import EventQueue
-from gateway.driver.open_request import OpenRequest, RequestOwner
 from gateway.driver.open_requests import OpenRequests
 from gateway.driver.request_attempts import RequestAttempts
 from gateway.driver.timers import PolicyTimers
-from gateway.policy.actions import Action
-from gateway.policy.engine import Policy
 from gateway.policy.events import AttemptFinished, EndpointUpdate, Event, Request
-from gateway.upstream.client import UpstreamClient
+
+if TYPE_CHECKING:
+    from gateway.address import Address
+    from gateway.counter.client import CounterClient
+    from gateway.driver.open_request import OpenRequest, RequestOwner
+    from gateway.policy.actions import Action
+    from gateway.policy.engine import Policy
+    from gateway.upstream.client import UpstreamClient
 
 log = logging.getLogger(__name__)
 
--- a/gateway/driver/request_attempts.py
+++ b/gateway/driver/request_attempts.py
@@ -3,15 +3,19 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from gateway.driver.open_request import SERVED, OpenRequest, Response
-from gateway.driver.open_requests import OpenRequests
-from gateway.policy.actions import Cancel, StartAttempt
 from gateway.policy.events import AttemptFinished, Event, Outcome
-from gateway.policy.settings import Limits
-from gateway.upstream.attempt import AttemptResult
-from gateway.upstream.client import UpstreamClient
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.driver.open_requests import OpenRequests
+    from gateway.policy.actions import Cancel, StartAttempt
+    from gateway.policy.settings import Limits
+    from gateway.upstream.attempt import AttemptResult
+    from gateway.upstream.client import UpstreamClient
 
 # Before the client's deadline: an attempt ends then, so that the policy can still respond.
 ATTEMPT_MARGIN_SECONDS = 0.030
--- a/gateway/driver/timers.py
+++ b/gateway/driver/timers.py
@@ -4,11 +4,15 @@
 
 import asyncio
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from gateway.driver.clock import UnixClock
 from gateway.policy.events import Event, TimerFired
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.driver.clock import UnixClock
+
 MIN_TIMER_SECONDS = 0.001  # the resolution of the event loop's timers
 
 
--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -4,16 +4,18 @@
 
 import asyncio
 from collections import deque
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
 from gateway.frontend.client_socket import ClientSocket
 from gateway.frontend.errors import FrontendError, UnavailableError
 from gateway.frontend.exchange import Exchange
 from gateway.frontend.http_response import encode_response, error_response
 from gateway.frontend.request_budget import BodyReservation
-from gateway.frontend.request_dispatcher import RequestDispatcher
 from gateway.frontend.request_reader import ReceivedRequest, RequestReader
-from gateway.frontend.wait_queue import WaitQueue
+
+if TYPE_CHECKING:
+    from gateway.frontend.request_dispatcher import RequestDispatcher
+    from gateway.frontend.wait_queue import WaitQueue
 
 MAX_PIPELINED_REQUESTS = 4  # on one connection, that wait for their responses
 DISCARD_PAUSE_SECONDS = 0.01  # for a rejected client that goes on sending; bounds what reading it costs
@@ -88,7 +90,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request."""
-        self.socket.attach(cast(asyncio.Transport, transport))  # uvloop's are not its subclasses
+        self.socket.attach(cast("asyncio.Transport", transport))  # uvloop's are not its subclasses
         self.enqueue(self._owner.new_connections)
         self._owner.add(self)
 
--- a/gateway/frontend/client_socket.py
+++ b/gateway/frontend/client_socket.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import select
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 
 class ClientSocket:
--- a/gateway/frontend/connection_table.py
+++ b/gateway/frontend/connection_table.py
@@ -4,12 +4,16 @@
 
 import asyncio
 import time
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
-from gateway.frontend.client_connection import ClientConnection
 from gateway.frontend.errors import RequestTimeoutError, UnavailableError
 from gateway.frontend.wait_queue import WaitQueue
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from gateway.frontend.client_connection import ClientConnection
+
 READ_TIMEOUT_SECONDS = 2.3  # for a request to be complete, the first one counted from connecting
 IDLE_TIMEOUT_SECONDS = 15.0  # between requests, unless the table is crowded
 CROWDED_IDLE_TIMEOUT_SECONDS = 2.0  # between requests, once the table is crowded or full
--- a/gateway/frontend/exchange.py
+++ b/gateway/frontend/exchange.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from gateway.driver.open_request import OpenRequest, Response
-from gateway.driver.policy_driver import PolicyDriver
-from gateway.frontend.submitted_request import SubmittedRequest
+if TYPE_CHECKING:
+    from gateway.driver.open_request import OpenRequest, Response
+    from gateway.driver.policy_driver import PolicyDriver
+    from gateway.frontend.submitted_request import SubmittedRequest
 
 
 class ExchangeOwner(Protocol):
--- a/gateway/frontend/forwarded_request.py
+++ b/gateway/frontend/forwarded_request.py
@@ -2,8 +2,12 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from gateway.frontend import request_headers
-from gateway.frontend.request_reader import ReceivedRequest
+
+if TYPE_CHECKING:
+    from gateway.frontend.request_reader import ReceivedRequest
 
 NOT_FORWARDED = frozenset(  # hop-by-hop headers, and those that are written anew
     {
--- a/gateway/frontend/http_response.py
+++ b/gateway/frontend/http_response.py
@@ -2,8 +2,12 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from gateway.driver.open_request import Response
-from gateway.frontend.errors import FrontendError
+
+if TYPE_CHECKING:
+    from gateway.frontend.errors import FrontendError
 
 REASONS = {
     200: "OK",
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
-from gateway.config import Config
-from gateway.driver.policy_driver import PolicyDriver
 from gateway.frontend.client_connection import ClientConnection
 from gateway.frontend.connection_table import ConnectionTable
 from gateway.frontend.request_budget import RequestBudget
 from gateway.frontend.request_dispatcher import RequestDispatcher
 from gateway.frontend.request_metadata import RequestMetadataParser
 
+if TYPE_CHECKING:
+    from gateway.config import Config
+    from gateway.driver.policy_driver import PolicyDriver
+
 BACKLOG = 1024  # connections that the system keeps until they are accepted
 
 
--- a/gateway/frontend/request_dispatcher.py
+++ b/gateway/frontend/request_dispatcher.py
@@ -3,18 +3,22 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from gateway.driver.open_request import FAILED, REJECTED, SERVED, Response
-from gateway.driver.policy_driver import PolicyDriver
 from gateway.frontend.errors import FrontendError, UnavailableError
-from gateway.frontend.exchange import Exchange
 from gateway.frontend.http_response import error_response
 from gateway.frontend.request_budget import BodyReservation, RequestBudget, RequestReservation
-from gateway.frontend.request_metadata import RequestMetadataParser
-from gateway.frontend.request_reader import ReceivedRequest
 from gateway.frontend.submitted_request import SubmittedRequest
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.driver.policy_driver import PolicyDriver
+    from gateway.frontend.exchange import Exchange
+    from gateway.frontend.request_metadata import RequestMetadataParser
+    from gateway.frontend.request_reader import ReceivedRequest
+
 READY_TARGET = b"/-/ready"
 
 log = logging.getLogger(__name__)
--- a/gateway/frontend/submitted_request.py
+++ b/gateway/frontend/submitted_request.py
@@ -3,15 +3,19 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from gateway.driver.open_request import Response
 from gateway.frontend.forwarded_request import ForwardedRequest
-from gateway.frontend.request_budget import RequestReservation
-from gateway.frontend.request_metadata import RequestMetadata
-from gateway.frontend.request_reader import ReceivedRequest
 from gateway.policy.events import Request
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.driver.open_request import Response
+    from gateway.frontend.request_budget import RequestReservation
+    from gateway.frontend.request_metadata import RequestMetadata
+    from gateway.frontend.request_reader import ReceivedRequest
+
 
 class SubmittedRequest:
     """The ``RequestOwner`` of a client's request.
--- a/gateway/frontend/wait_queue.py
+++ b/gateway/frontend/wait_queue.py
@@ -4,8 +4,10 @@
 
 import time
 from collections import OrderedDict
-from collections.abc import Iterator
-from typing import Generic, TypeVar
+from typing import TYPE_CHECKING, Generic, TypeVar
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
 WaiterT = TypeVar("WaiterT")
 
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -4,8 +4,7 @@
 
 import asyncio
 import logging
-from collections.abc import Mapping
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.config import Config, ConfigError, load_config
 from gateway.counter.client import CounterClient
@@ -17,6 +16,9 @@
 from gateway.shutdown import GracefulShutdown, drain_timeout
 from gateway.upstream.client import UpstreamClient
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 # Both waits are short: a counter or an agent that is down must not keep the process from serving.
 COUNTER_START_TIMEOUT_SECONDS = 0.3  # wait for a first connection to the counter
 ENDPOINT_LIST_TIMEOUT_SECONDS = 1.0  # wait for a first endpoint list; the cached one may be out of date
--- a/gateway/serve.py
+++ b/gateway/serve.py
@@ -5,11 +5,14 @@
 import asyncio
 import gc
 import signal
-from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 from gateway.config import ConfigError, load_config
 from gateway.process import GatewayProcess
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 
 async def serve(env: Mapping[str, str]) -> None:
     """Run one gateway with the configuration that ``env`` names, until SIGTERM or SIGINT.
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -4,10 +4,12 @@
 
 import asyncio
 import time
+from typing import TYPE_CHECKING
 
-from gateway.driver.policy_driver import PolicyDriver
-from gateway.frontend.listener import Listener
-from gateway.policy.settings import Settings
+if TYPE_CHECKING:
+    from gateway.driver.policy_driver import PolicyDriver
+    from gateway.frontend.listener import Listener
+    from gateway.policy.settings import Settings
 
 # SIGKILL follows SIGTERM after the longest deadline, 3 s at most, plus 0.7 s: the drain and the flush have to
 # fit into that.
--- a/gateway/simulator/batch_decoder.py
+++ b/gateway/simulator/batch_decoder.py
@@ -7,8 +7,7 @@
 from __future__ import annotations
 
 import struct
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.policy.events import (
     AttemptFinished,
@@ -27,6 +26,9 @@
 )
 from gateway.simulator.wire import Batch, Configure, Crash, EventCode, WireError, WireEvent
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 BATCH_HEADER = struct.Struct("<IIdI")  # record count, length, time, batch number
 LENGTH_FIELD_END = 8  # bytes of a batch header up to and with its length field, which counts what follows it
 
--- a/gateway/simulator/reply_encoder.py
+++ b/gateway/simulator/reply_encoder.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import struct
-from collections.abc import Callable, Iterable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.policy.actions import (
     AddToCounter,
@@ -22,6 +21,9 @@
 )
 from gateway.simulator.wire import ActionCode, Fault, WireAction, WireError
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
 REPLY_HEADER = struct.Struct("<III")  # length, record count, batch number
 LENGTH_FIELD_END = 4  # bytes of a reply header up to and with its length field, which counts what follows it
 
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
-import asyncio
 import enum
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from gateway.policy.events import Outcome
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
 
 @dataclass(slots=True)
 class AttemptResult:
--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -5,15 +5,18 @@
 import asyncio
 import dataclasses
 import time
-from collections.abc import Callable, Coroutine
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from gateway.address import Address
 from gateway.policy.events import Outcome
 from gateway.upstream.attempt import Attempt, AttemptResult
 from gateway.upstream.connection_pool import EndpointPool
 from gateway.upstream.load_report import LoadReportParser
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
+    from gateway.address import Address
+
 ENDPOINT_CONNECTIONS_FRACTION = 0.5  # of all connections, that one endpoint may have
 IDLE_TIMEOUT_FRACTION = 0.5  # of the endpoints' idle timeout, after which this side closes a connection
 IDLE_SWEEP_SECONDS = 1.0  # between checks for such connections
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -5,14 +5,16 @@
 import asyncio
 import logging
 import select
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
 from gateway.policy.events import Outcome
 from gateway.upstream.attempt import Attempt, AttemptResult
 from gateway.upstream.errors import MalformedResponseError
-from gateway.upstream.load_report import LoadReportParser
 from gateway.upstream.response_parser import ResponseParser
 
+if TYPE_CHECKING:
+    from gateway.upstream.load_report import LoadReportParser
+
 log = logging.getLogger(__name__)
 
 
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -5,14 +5,17 @@
 import asyncio
 import time
 from collections import deque
-from collections.abc import Coroutine
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
-from gateway.address import Address
 from gateway.policy.events import Outcome
-from gateway.upstream.attempt import Attempt
 from gateway.upstream.connection import UpstreamConnection
-from gateway.upstream.load_report import LoadReportParser
+
+if TYPE_CHECKING:
+    from collections.abc import Coroutine
+
+    from gateway.address import Address
+    from gateway.upstream.attempt import Attempt
+    from gateway.upstream.load_report import LoadReportParser
 
 REUSE_DELAY_SECONDS = 0.010  # after a response, as a second copy of it may come some milliseconds later
 
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -19,6 +19,9 @@
 from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
 from tests.support.http_messages import http_response
 
+if TYPE_CHECKING:
+    import asyncio
+
 
 class WrittenAgent(FakeDiscoveryAgent):
     """An agent whose watch is a given text, in chunks of a given size in bytes."""
--- a/tests/driver/test_policy_driver.py
+++ b/tests/driver/test_policy_driver.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
-
-import pytest
+from typing import TYPE_CHECKING, Any
 
 from gateway.policy.actions import Action, FetchEndpoints, Log, Reject, SetTimer, WatchEndpoints
 from gateway.policy.events import AttemptFinished, Outcome, Request, TimerFired
@@ -14,6 +12,9 @@
 from tests.support.http_messages import http_response
 from tests.support.scripted_policy import forward_to_first
 
+if TYPE_CHECKING:
+    import pytest
+
 TIMER_COUNT = 40
 TIMER_INTERVAL_SECONDS = 0.0017  # no whole number of the loop's milliseconds
 
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 @pytest.fixture
 def config_path(tmp_path: Path) -> Path:
--- a/tests/process/gated_loop.py
+++ b/tests/process/gated_loop.py
@@ -4,9 +4,10 @@
 
 import asyncio
 import socket
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from gateway.process import GatewayProcess
+if TYPE_CHECKING:
+    from gateway.process import GatewayProcess
 
 SMALL_BUFFER_BYTES = 4096
 
--- a/tests/process/program.py
+++ b/tests/process/program.py
@@ -8,13 +8,15 @@
 import resource
 import socket
 import sys
-from collections.abc import AsyncIterator
 from pathlib import Path
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from tests.support.fake_server import LOOPBACK
 from tests.support.http_messages import read_message
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
 CONNECT_POLL_SECONDS = 0.01
 
 
--- a/tests/process/raw_client.py
+++ b/tests/process/raw_client.py
@@ -5,11 +5,15 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
-from gateway.process import GatewayProcess
 from tests.support.event_loop import until
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from gateway.process import GatewayProcess
+
 SMALL_BUFFER_BYTES = 4096
 READ_BYTES = 1 << 16
 REQUEST_HEAD = (
--- a/tests/process/services.py
+++ b/tests/process/services.py
@@ -4,14 +4,16 @@
 
 import contextlib
 import json
-from collections.abc import Sequence
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
 from tests.support.fake_server import FakeServer, Handler, server_address
 from tests.support.gateway import UNREACHABLE, config_text
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from pathlib import Path
+
 
 class Services(contextlib.AsyncExitStack):
     """Servers that run until the stack is closed."""
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -6,8 +6,7 @@
 import contextlib
 import socket
 import time
-from collections.abc import Iterator
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -21,6 +20,9 @@
 from tests.support.http_messages import Message, http_response
 from tests.support.scripted_policy import FIRST, SECOND
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 POLL_TIMER = 1  # the token of a timer that fires at once
 CUT_OFF_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf"
 
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -4,19 +4,21 @@
 
 import socket
 import time
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from gateway.policy.actions import Action
 from gateway.policy.events import ClientDisconnected
-from gateway.process import GatewayProcess
 from tests.process.raw_client import connected, raw_request, send_four_requests
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint, respond_with
 from tests.support.gateway import UNREACHABLE, running_gateway
 from tests.support.scripted_policy import forward_to_first
 
+if TYPE_CHECKING:
+    from gateway.policy.actions import Action
+    from gateway.process import GatewayProcess
+
 LARGE_BODY = b"x" * 60_000
 HIGH_WATER_BYTES = 1 << 20  # more than all responses of a test
 MAX_DETECTION_SECONDS = 0.5
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -4,12 +4,11 @@
 
 import contextlib
 import time
-from collections.abc import AsyncIterator
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import stable_hash
 from gateway.policy.quota_factory import WINDOW_SECONDS
-from gateway.process import GatewayProcess
 from tests.support.event_loop import async_test
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_endpoint import FakeEndpoint
@@ -17,6 +16,11 @@
 from tests.support.gateway import running_gateway
 from tests.support.http_client import HttpClient
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from gateway.process import GatewayProcess
+
 QUOTA_BURST_UNITS = 8
 QUOTA_UNITS_PER_SECOND = 4
 MAX_CLOCK_ERROR_SECONDS = 5
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -4,12 +4,10 @@
 
 import asyncio
 import time
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.policy.actions import Action, StartAttempt
 from gateway.policy.events import ClientDisconnected, Outcome, Request
-from gateway.process import GatewayProcess
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint, keep_silent
 from tests.support.gateway import gateway_with_client, running_gateway
@@ -17,6 +15,11 @@
 from tests.support.http_messages import Message, http_response, read_message
 from tests.support.scripted_policy import FIRST
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.process import GatewayProcess
+
 NO_QUOTA_NO_HEDGING = {"tariffs__0__quota_rate": "0", "caps__second_copies": "false"}
 USUAL_LATENCY_SECONDS = 0.1
 COSTLY_SECONDS = 5 * USUAL_LATENCY_SECONDS
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -7,11 +7,9 @@
 import itertools
 import signal
 import time
-from collections.abc import Iterator
 from dataclasses import dataclass
 from functools import partial
-from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from gateway.config import RESERVED_SOCKETS
 from gateway.counter.client import CONNECTION_COUNT
@@ -25,6 +23,10 @@
 from tests.support.fake_server import LOOPBACK
 from tests.support.http_messages import read_message
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+    from pathlib import Path
+
 MAX_SOCKETS = 160  # of the gateway: its own limit and the system's
 IDLE_CLIENT_COUNT = 600  # clients that connect at once and say nothing
 RECONNECT_SECONDS = 0.2  # from the close of an idle client to its next connection
--- a/tests/process/test_log_setup.py
+++ b/tests/process/test_log_setup.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import logging
-
-import pytest
+from typing import TYPE_CHECKING
 
 from gateway.log_setup import MAX_RECORDS_PER_SECOND, LogRateLimit
 
+if TYPE_CHECKING:
+    import pytest
+
 RECORD = logging.LogRecord("gateway", logging.ERROR, __file__, 1, "an error", None, None)
 
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -4,8 +4,7 @@
 
 import signal
 from dataclasses import dataclass, field
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from gateway.counter.client import CONNECTION_COUNT
 from tests.process.program import RunningProgram, readiness_status, running_program
@@ -15,6 +14,9 @@
 from tests.support.fake_discovery import FakeDiscoveryAgent
 from tests.support.fake_endpoint import FakeEndpoint
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 @dataclass
 class Site:
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 import time
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -21,6 +21,9 @@
 from tests.support.fake_server import LOOPBACK
 from tests.support.gateway import config_without
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 START_COUNT = 20
 MAX_START_SECONDS = 10.0  # in which nine in ten starts have to be ready
 READINESS_POLL_SECONDS = 0.05
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -4,16 +4,10 @@
 
 import asyncio
 import contextlib
-import socket
-from collections.abc import AsyncIterator, Callable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import pytest
 
-from gateway.frontend.client_connection import ClientConnection
-from gateway.frontend.connection_table import ConnectionTable
-from gateway.frontend.listener import Listener
-from gateway.process import GatewayProcess
 from tests.process.raw_client import (
     connected,
     raw_request,
@@ -28,6 +22,15 @@
 from tests.support.gateway import running_gateway
 from tests.support.scripted_policy import forward_to_first
 
+if TYPE_CHECKING:
+    import socket
+    from collections.abc import AsyncIterator, Callable
+
+    from gateway.frontend.client_connection import ClientConnection
+    from gateway.frontend.connection_table import ConnectionTable
+    from gateway.frontend.listener import Listener
+    from gateway.process import GatewayProcess
+
 AMPLE_DRAIN_SECONDS = 10.0
 SHORT_DRAIN_SECONDS = 0.1
 OK_STATUS = b" 200 OK"
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -5,13 +5,11 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import AsyncIterator, Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from gateway.driver.policy_driver import PolicyDriver
 from gateway.policy.actions import Action, Reject, StartAttempt
 from gateway.policy.events import (
     AttemptFinished,
@@ -22,7 +20,6 @@
     Request,
     UpdateKind,
 )
-from gateway.process import GatewayProcess
 from gateway.upstream import connection_pool
 from tests.process.gated_loop import GatedLoop, gate_connections
 from tests.process.raw_client import read_all
@@ -31,9 +28,15 @@
 from tests.support.fake_server import LOOPBACK, FakeServer
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
-from tests.support.http_messages import Message
 from tests.support.scripted_policy import FIRST, SECOND, Reaction, ScriptedPolicy, forward_to_first
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Iterator
+
+    from gateway.driver.policy_driver import PolicyDriver
+    from gateway.process import GatewayProcess
+    from tests.support.http_messages import Message
+
 LONG_CONNECT_TIMEOUT = {"caps__connect_timeout_s": "5.0"}
 LIST_VERSION = 42
 LARGE_BODY = b"x" * 60_000
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -4,11 +4,13 @@
 
 import asyncio
 import functools
-from collections.abc import Awaitable, Callable
-from typing import ParamSpec
+from typing import TYPE_CHECKING, ParamSpec
 
 import uvloop
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
 MAX_TEST_SECONDS = 20
 POLL_SECONDS = 0.002
 
--- a/tests/support/fake_counter.py
+++ b/tests/support/fake_counter.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from tests.support.fake_server import FakeServer
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
 
 @dataclass
 class FakeCounter(FakeServer):
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from tests.support.fake_server import FakeServer
 from tests.support.http_messages import Message, http_response, read_message
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
 CLOSED_WITHOUT_RESPONSE = b""
 
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -4,9 +4,8 @@
 
 import contextlib
 import json
-from collections.abc import AsyncIterator
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from gateway.config import Config, parse_config
 from gateway.process import GatewayProcess
@@ -16,6 +15,9 @@
 from tests.support.policy import BASE
 from tests.support.scripted_policy import Reaction, ScriptedPolicy, do_nothing, forward_to_first
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
 UNREACHABLE = "127.0.0.1:1"  # nothing listens on this port
 LIST_SETTINGS = ("zones", "columns")
 
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
-from gateway.frontend.listener import Listener
 from tests.support.fake_server import LOOPBACK
 from tests.support.http_messages import Message, read_message
 
+if TYPE_CHECKING:
+    from gateway.frontend.listener import Listener
+
 IDEMPOTENT_CLASS = 0  # GET
 KEYED_CLASS = 1  # POST with an idempotency key
 NON_IDEMPOTENT_CLASS = 2  # POST without one
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -6,20 +6,22 @@
 import enum
 import socket
 import struct
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from gateway.policy.events import AttemptFinished, Outcome
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint
-from tests.support.fake_server import Handler
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
 from tests.support.http_messages import http_response, read_message
 from tests.support.scripted_policy import FIRST
 from tests.support.upstream import echo_request_id, two_clients
 
+if TYPE_CHECKING:
+    from tests.support.fake_server import Handler
+
 
 # Guards against forwarding bytes behind a response as the response to the next request: that one starts as
 # soon as the first has finished, on a connection that still brings a second copy or noise.
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-
-import pytest
+from typing import TYPE_CHECKING
 
 from gateway.policy.events import ClientDisconnected, Outcome
 from gateway.upstream import connection_pool
@@ -16,6 +15,9 @@
 from tests.support.scripted_policy import FIRST, forward_to_first
 from tests.support.upstream import echo_request_id, two_clients
 
+if TYPE_CHECKING:
+    import pytest
+
 
 class DuplicatingEndpoint:
     """An endpoint that sends a second copy of its first response a moment after `may_duplicate` is set."""
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from gateway.policy.events import AttemptFinished
@@ -9,7 +11,9 @@
 from tests.support.event_loop import async_test
 from tests.support.fake_endpoint import FakeEndpoint
 from tests.support.gateway import gateway_with_client
-from tests.support.http_messages import Message
+
+if TYPE_CHECKING:
+    from tests.support.http_messages import Message
 
 MALFORMED = [
     pytest.param("TEXT util=none", id="word"),
