--- a/gateway/policy/endpoint_scorer.py
+++ b/gateway/policy/endpoint_scorer.py
@@ -76,6 +76,7 @@
         """Return the attempts at an endpoint, with this one and those of other gateways as reported."""
         reported = 1 + endpoint.load_report.estimate(self.now, self.mean_load)
         load = len(endpoint.in_flight) + 1 + REPORT_WEIGHT * reported
-        if endpoint.outlier_detector.is_silent(self.class_index, self.now):
-            return load * EJECTION_FACTOR
+        detector = endpoint.outlier_detector
+        if detector.silent_classes and detector.is_silent(self.class_index, self.now):
+            load *= EJECTION_FACTOR
         return load
