--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -28,7 +28,7 @@
     Attributes:
         concurrency_limit: Attempts that this gateway may have in flight at a mean endpoint.
         latency_target: Latency in seconds that load shedding aims at.
-        late_ratio: Fraction of the outcomes that were late or failures.
+        lateness: 1 for each outcome that was late or a failure, 0 for the others.
         lowered_at: Unix time at which the limit was last lowered, in seconds.
         latency: Mean latency of responses, in seconds.
         class_latency: The same by class index, as the work differs by class.
@@ -44,7 +44,7 @@
         self.endpoints = endpoints
         self.concurrency_limit = INITIAL_LIMIT / context.gateway_count
         self.latency_target = TARGET_FRACTION * min(objectives, default=1.0)
-        self.late_ratio = 0.0
+        self.lateness = MovingAverage(0.0, LATE_WEIGHT)
         self.lowered_at = 0.0
         self.latency = MovingAverage(INITIAL_LATENCY_SECONDS, MEAN_LATENCY_WEIGHT)
         self.class_latency = [MovingAverage(INITIAL_LATENCY_SECONDS, MEAN_LATENCY_WEIGHT) for _ in classes]
@@ -52,6 +52,11 @@
         self.loaded_latency = MovingAverage(INITIAL_LATENCY_SECONDS, LATENCY_WEIGHT)
         self.observed_load = MovingAverage(INITIAL_LOAD, LATENCY_WEIGHT)
 
+    @property
+    def late_ratio(self) -> float:
+        """Fraction of the outcomes that were late or failures."""
+        return self.lateness.value
+
     @property
     def mean_latency(self) -> float:
         """Mean latency of responses, in seconds."""
@@ -81,8 +86,7 @@
     def record_outcome(self, *, late: bool, typical: bool) -> None:
         """Adapt the limit to an outcome; that of an outlier is not typical of the other endpoints."""
         if typical:
-            newest = 1.0 if late else 0.0
-            self.late_ratio += LATE_WEIGHT * (newest - self.late_ratio)
+            self.lateness.record(1.0 if late else 0.0)
         if self.late_ratio >= MAX_LATE_RATIO:
             self._lower_limit()
         elif not late:
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -64,7 +64,7 @@
     policy: Policy, counter: FakeCounter
 ) -> None:
     limiter = policy.concurrency_limiter
-    limiter.late_ratio = 1.0
+    limiter.lateness.reset(1.0)
     limiter.concurrency_limit = 0.0
     policy.endpoints.by_id.clear()
     policy.endpoints.ready.clear()
