--- a/gateway/config/__init__.py
+++ b/gateway/config/__init__.py
@@ -1,5 +1,7 @@
 """The process configuration: the JSON file that NODE_CONFIG names, as typed values."""
 
+from __future__ import annotations
+
 from gateway.config.errors import ConfigError, InvalidValueError, MissingKeyError
 from gateway.config.parser import load_config, parse_config
 from gateway.config.resource_limits import RESERVED_SOCKETS, ResourceLimits
--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -1,19 +1,25 @@
 """Whether a request is admitted, waits for a lease, or is rejected: by a denied lease or the local quota."""
 
-from collections.abc import Callable, Iterable
+from __future__ import annotations
+
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from gateway.policy.admission_ticket import AdmissionTicket
 from gateway.policy.context import EPSILON, Context
 from gateway.policy.counter_calls import CounterCalls, ReplyMeaning
-from gateway.policy.events import CounterReply, Request
-from gateway.policy.lease import Lease
-from gateway.policy.lease_table import LeaseTable
-from gateway.policy.local_admission import LocalAdmission
-from gateway.policy.pending_request import PendingRequest
-from gateway.policy.quota import LeaseKey, QuotaKind
 from gateway.policy.quota_factory import limited_kinds
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from gateway.policy.events import CounterReply, Request
+    from gateway.policy.lease import Lease
+    from gateway.policy.lease_table import LeaseTable
+    from gateway.policy.local_admission import LocalAdmission
+    from gateway.policy.pending_request import PendingRequest
+    from gateway.policy.quota import LeaseKey, QuotaKind
+
 MAX_WAIT_FRACTION = 0.25  # of its latency objective that a request waits until a call may be made
 
 
--- a/gateway/policy/admission_ticket.py
+++ b/gateway/policy/admission_ticket.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from gateway.policy.lease import Lease
-from gateway.policy.pending_request import PendingRequest
+if TYPE_CHECKING:
+    from gateway.policy.lease import Lease
+    from gateway.policy.pending_request import PendingRequest
 
 
 @dataclass(slots=True, eq=False)
--- a/gateway/policy/concurrency_ledger.py
+++ b/gateway/policy/concurrency_ledger.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import TICK_SECONDS
 from gateway.policy.counter_ledger import Batch, CounterLedger, CounterTotal, Denial
-from gateway.policy.lease_request import LeaseRequest
+
+if TYPE_CHECKING:
+    from gateway.policy.lease_request import LeaseRequest
 
 DENIAL_SECONDS = 2 * TICK_SECONDS  # slots may become free at any time
 
--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -4,13 +4,16 @@
 
 import math
 from itertools import takewhile
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import LATENCY_WEIGHT, REPORT_WEIGHT, TARGET_FRACTION, Context
-from gateway.policy.endpoints import EndpointTable
-from gateway.policy.load_report import LoadReport
 from gateway.policy.moving_average import MovingAverage
 from gateway.policy.outlier_detector import INITIAL_LATENCY_SECONDS, OUTLIER_FACTOR
 
+if TYPE_CHECKING:
+    from gateway.policy.endpoints import EndpointTable
+    from gateway.policy.load_report import LoadReport
+
 INITIAL_LIMIT = 12.0  # attempts in flight at a mean endpoint, of all gateways
 MIN_LIMIT = 4.0  # of the same: an idle core serves nobody
 DEVIATIONS = 0.7  # standard deviations of headroom above the mean: a gateway's load comes unevenly
--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -4,9 +4,11 @@
 
 import random
 from hashlib import blake2b
+from typing import TYPE_CHECKING
 
-from gateway.policy.actions import Action
-from gateway.policy.settings import Settings
+if TYPE_CHECKING:
+    from gateway.policy.actions import Action
+    from gateway.policy.settings import Settings
 
 TICK_SECONDS = 0.025  # period of the timer while a request waits
 DEADLINE_MARGIN_SECONDS = 0.03  # kept free before a deadline or the end of a deduplication window
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -5,16 +5,19 @@
 from collections import deque
 from dataclasses import dataclass
 from enum import Enum, auto
+from typing import TYPE_CHECKING
 
 from gateway.policy.actions import AddToCounter, Log
 from gateway.policy.context import EPSILON, LATENCY_WEIGHT, Context
 from gateway.policy.counter_ledger import CounterTotal
-from gateway.policy.counter_rate_limiter import CounterRateLimiter
 from gateway.policy.events import CounterReply, Outcome
-from gateway.policy.lease import Lease
 from gateway.policy.moving_average import MovingAverage
 from gateway.policy.quota import Grant, Shortfall
-from gateway.policy.settings import Plan
+
+if TYPE_CHECKING:
+    from gateway.policy.counter_rate_limiter import CounterRateLimiter
+    from gateway.policy.lease import Lease
+    from gateway.policy.settings import Plan
 
 MIN_CORRECTION = 0.02  # units; a total that is wrong by less is corrected by the next request
 EXPIRY_SECONDS = 60.0  # after which the counter forgets a window's total
--- a/gateway/policy/counter_ledger.py
+++ b/gateway/policy/counter_ledger.py
@@ -5,10 +5,13 @@
 import math
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import EPSILON
-from gateway.policy.lease_request import LeaseRequest
-from gateway.policy.quota import Quota
+
+if TYPE_CHECKING:
+    from gateway.policy.lease_request import LeaseRequest
+    from gateway.policy.quota import Quota
 
 MIN_LOST_UNITS = 0.01  # by which a total must be too low to count as lost
 
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -1,12 +1,17 @@
 """The rate at which one gateway calls the counter."""
 
+from __future__ import annotations
+
 import math
+from typing import TYPE_CHECKING
 
-from gateway.policy.context import Context
 from gateway.policy.events import CounterReply, Outcome
 from gateway.policy.moving_average import MovingAverage
 from gateway.policy.token_bucket import TokenBucket
 
+if TYPE_CHECKING:
+    from gateway.policy.context import Context
+
 INITIAL_CALLS_PER_SECOND = 800.0  # of all gateways together
 MIN_CALLS_PER_SECOND = 60.0  # of all gateways, while the counter fails: enough to notice its recovery
 GROWTH_PER_SECOND = 0.25  # fraction by which the rate grows in a second of fast replies, if it is the limit
--- a/gateway/policy/dispatch_queue.py
+++ b/gateway/policy/dispatch_queue.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 from operator import attrgetter
+from typing import TYPE_CHECKING
 
-from gateway.policy.pending_request import PendingRequest
+if TYPE_CHECKING:
+    from gateway.policy.pending_request import PendingRequest
 
 PRIORITY = attrgetter("priority")
 
--- a/gateway/policy/endpoint_scorer.py
+++ b/gateway/policy/endpoint_scorer.py
@@ -3,13 +3,17 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import REPORT_WEIGHT
-from gateway.policy.endpoints import Endpoint
 from gateway.policy.outlier_detector import EJECTION_FACTOR
-from gateway.policy.slow_start import SlowStart
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from gateway.policy.endpoints import Endpoint
+    from gateway.policy.slow_start import SlowStart
 
 JITTER_DIVISOR = 20  # a score rises by up to 1 / 20 at random, or equal gateways would choose alike
 
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -1,10 +1,9 @@
-"""The policy of one gateway.  Settings, events, actions: gateway/policy/{settings,events,actions}.py.
-
-Why a request was rejected: admission.py.  Where it was sent, and sent again: load_balancer.py, retries.py.
-"""
+"""The policy of one gateway.  Settings, events, actions: gateway/policy/{settings,events,actions}.py."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from gateway.policy import events
 from gateway.policy.actions import Action, Fail, Reject, SetTimer, StartAttempt
 from gateway.policy.admission import Admission, AdmissionCallbacks
@@ -19,10 +18,12 @@
 from gateway.policy.local_admission import LocalAdmission
 from gateway.policy.pending_request import PendingRequest
 from gateway.policy.retries import Retries
-from gateway.policy.settings import Settings
 from gateway.policy.slow_start import SlowStart
 from gateway.policy.tick_timer import WATCH_SECONDS, TickTimer
 
+if TYPE_CHECKING:
+    from gateway.policy.settings import Settings
+
 TIMER_TOKEN = 1  # the policy has one timer
 MAX_UNSENT = 3  # queued requests that find no endpoint, after which the rest stays queued
 MIN_TIME_REMAINING_SECONDS = DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS  # of a request that may be served
@@ -226,9 +227,8 @@
         self.queue.drop_closed()
         self._dispatch_queued()
         self._replace_stalled_attempts()
-        now = self.context.now
-        if now >= self.reclaim_at:
-            self.reclaim_at = now + WATCH_SECONDS
+        if self.context.now >= self.reclaim_at:
+            self.reclaim_at = self.context.now + WATCH_SECONDS
             self.leases.reclaim_idle_credits()
 
     def _give_up_late_requests(self) -> None:
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -4,18 +4,21 @@
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
-from gateway.policy.counter_ledger import CounterLedger, Denial
-from gateway.policy.events import Outcome
 from gateway.policy.grant_history import GrantHistory
 from gateway.policy.lease_clock import LeaseClock
 from gateway.policy.lease_request import LeaseRequest
-from gateway.policy.lease_sizing import BatchSizer
 from gateway.policy.lease_usage import LeaseUsage
-from gateway.policy.pending_request import PendingRequest
-from gateway.policy.quota import Grant, Quota
 from gateway.policy.token_bucket import TokenBucket
 
+if TYPE_CHECKING:
+    from gateway.policy.counter_ledger import CounterLedger, Denial
+    from gateway.policy.events import Outcome
+    from gateway.policy.lease_sizing import BatchSizer
+    from gateway.policy.pending_request import PendingRequest
+    from gateway.policy.quota import Grant, Quota
+
 
 @dataclass(slots=True, eq=False)
 class Lease:
--- a/gateway/policy/lease_sizing.py
+++ b/gateway/policy/lease_sizing.py
@@ -1,5 +1,7 @@
 """How many units a lease requests at once."""
 
+from __future__ import annotations
+
 import math
 from dataclasses import dataclass
 
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -1,16 +1,21 @@
 """The leases of one gateway: which there are, what requests hold of them, and when they are forgotten."""
 
+from __future__ import annotations
+
 import math
+from typing import TYPE_CHECKING
 
-from gateway.policy.admission_ticket import AdmissionTicket
 from gateway.policy.context import EPSILON, Context
-from gateway.policy.counter_calls import CounterCalls
-from gateway.policy.events import Request
 from gateway.policy.lease import Lease
 from gateway.policy.lease_sizing import BatchSizer
 from gateway.policy.quota import LeaseKey, QuotaKind
 from gateway.policy.quota_factory import make_ledger, make_quota
 
+if TYPE_CHECKING:
+    from gateway.policy.admission_ticket import AdmissionTicket
+    from gateway.policy.counter_calls import CounterCalls
+    from gateway.policy.events import Request
+
 MAX_IDLE_SECONDS = 30.0  # after which a lease is forgotten
 
 
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -3,16 +3,19 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
 from gateway.policy.actions import Probe
-from gateway.policy.concurrency_limiter import ConcurrencyLimiter
 from gateway.policy.context import TARGET_FRACTION, Context
 from gateway.policy.endpoint_scorer import EndpointScorer
-from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
 from gateway.policy.events import AttemptFinished, Outcome
 from gateway.policy.load_report import REPORT_LIFETIME_SECONDS
-from gateway.policy.pending_request import PendingRequest
-from gateway.policy.slow_start import SlowStart
+
+if TYPE_CHECKING:
+    from gateway.policy.concurrency_limiter import ConcurrencyLimiter
+    from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
+    from gateway.policy.pending_request import PendingRequest
+    from gateway.policy.slow_start import SlowStart
 
 MAX_CANDIDATES = 12  # endpoints compared for an attempt
 SUBSET_LIMIT_FACTOR = 2  # on the mean limit of attempts in flight, for one endpoint of the subset
--- a/gateway/policy/local_admission.py
+++ b/gateway/policy/local_admission.py
@@ -1,9 +1,15 @@
 """What requests may spend of a quota without the counter: the local quota."""
 
-from gateway.policy.concurrency_limiter import ConcurrencyLimiter
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from gateway.policy.context import EPSILON, Context
-from gateway.policy.counter_rate_limiter import CounterRateLimiter
-from gateway.policy.lease import Lease
+
+if TYPE_CHECKING:
+    from gateway.policy.concurrency_limiter import ConcurrencyLimiter
+    from gateway.policy.counter_rate_limiter import CounterRateLimiter
+    from gateway.policy.lease import Lease
 
 MAX_UTILIZATION = 0.8  # of the endpoints, above which only what the counter granted is admitted
 
--- a/gateway/policy/outlier_detector.py
+++ b/gateway/policy/outlier_detector.py
@@ -6,12 +6,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import DECAY_SECONDS, LATENCY_WEIGHT
 from gateway.policy.moving_average import MovingAverage, decay
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 INITIAL_LATENCY_SECONDS = 0.3  # assumed before the first response
 OUTLIER_FACTOR = 2.5  # on the mean latency, from which an endpoint is slow and an attempt is hanging
 EJECTION_FACTOR = 8.0  # on the mean latency, for a failed connection; on the load, for a silent class
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -4,10 +4,12 @@
 
 from dataclasses import dataclass, field
 from operator import attrgetter
+from typing import TYPE_CHECKING
 
-from gateway.policy.endpoints import Attempt
-from gateway.policy.events import Request
-from gateway.policy.settings import Plan, RequestClass
+if TYPE_CHECKING:
+    from gateway.policy.endpoints import Attempt
+    from gateway.policy.events import Request
+    from gateway.policy.settings import Plan, RequestClass
 
 
 @dataclass(slots=True, eq=False)
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -6,11 +6,13 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import ClassVar, NamedTuple
+from typing import TYPE_CHECKING, ClassVar, NamedTuple
 
 from gateway.policy.context import EPSILON, stable_hash
-from gateway.policy.pending_request import PendingRequest
-from gateway.policy.settings import Plan
+
+if TYPE_CHECKING:
+    from gateway.policy.pending_request import PendingRequest
+    from gateway.policy.settings import Plan
 
 IDLE_FRACTION = 0.25  # of the refill time, after which unused credits count as idle
 
--- a/gateway/policy/quota_factory.py
+++ b/gateway/policy/quota_factory.py
@@ -1,14 +1,19 @@
 """Quotas and their ledgers for the customers of a plan; no other module distinguishes the kinds."""
 
+from __future__ import annotations
+
 import math
+from typing import TYPE_CHECKING
 
 from gateway.policy.concurrency_ledger import ConcurrencyLedger
 from gateway.policy.context import stable_hash
-from gateway.policy.counter_ledger import CounterLedger
-from gateway.policy.events import Request
 from gateway.policy.quota import ConcurrencyQuota, LeaseKey, Quota, QuotaKind, RateQuota
 from gateway.policy.rate_ledger import RateLedger
-from gateway.policy.settings import Plan, Settings
+
+if TYPE_CHECKING:
+    from gateway.policy.counter_ledger import CounterLedger
+    from gateway.policy.events import Request
+    from gateway.policy.settings import Plan, Settings
 
 WINDOW_SECONDS = 20.0  # window of a rate quota: near its edge, gateways see each other's leases late
 
--- a/gateway/policy/rate_ledger.py
+++ b/gateway/policy/rate_ledger.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from gateway.policy.context import EPSILON
 from gateway.policy.counter_ledger import Batch, CounterLedger, CounterTotal, Denial
-from gateway.policy.lease_request import LeaseRequest
+
+if TYPE_CHECKING:
+    from gateway.policy.lease_request import LeaseRequest
 
 
 @dataclass(slots=True)
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 from operator import attrgetter
+from typing import TYPE_CHECKING
 
 from gateway.policy.actions import Cancel
-from gateway.policy.concurrency_limiter import ConcurrencyLimiter
 from gateway.policy.context import DEADLINE_MARGIN_SECONDS, TICK_SECONDS, Context
-from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
-from gateway.policy.load_balancer import LoadBalancer
-from gateway.policy.pending_request import PendingRequest
 from gateway.policy.settings import DedupScope, Effect
 
+if TYPE_CHECKING:
+    from gateway.policy.concurrency_limiter import ConcurrencyLimiter
+    from gateway.policy.endpoints import Attempt, Endpoint, EndpointTable
+    from gateway.policy.load_balancer import LoadBalancer
+    from gateway.policy.pending_request import PendingRequest
+
 SILENT_LATENCIES = (
     6.0  # mean latencies of a class without a response, after which an endpoint is silent for it
 )
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -4,7 +4,10 @@
 
 import functools
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 MIN_SUBSET_SIZE = 12  # endpoints: a gateway must bear the loss of a third of them
 MIN_GATEWAYS_PER_ENDPOINT = 8  # so that one gateway's uneven load is spread
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -2,11 +2,15 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
-from gateway.policy.engine import Policy
 from tests.support.policy import FakeCounter, make_policy
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 @pytest.fixture
 def counter() -> FakeCounter:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from gateway.policy.actions import Action, Reject, StartAttempt
 from gateway.policy.admission import MAX_WAIT_FRACTION
 from gateway.policy.context import TICK_SECONDS
-from gateway.policy.engine import Policy
 from gateway.policy.events import ClientDisconnected, Outcome, TimerFired
 from gateway.policy.quota import LeaseKey, QuotaKind
 from tests.support.policy import (
@@ -24,6 +25,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 def test_a_denied_lease_rejects_without_further_calls(policy: Policy, counter: FakeCounter) -> None:
     serve_many(policy, counter, START, range(30))
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.policy.actions import StartAttempt
+from typing import TYPE_CHECKING
+
 from gateway.policy.events import (
     Outcome,
     ProbeFinished,
@@ -16,6 +17,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.actions import StartAttempt
+
 
 def test_reported_load_sheds_by_chance_before_latencies_rise() -> None:
     policy = make_policy(caps__may_probe="true", report__how="pull", report__columns="inflight")
--- a/tests/policy/test_counter_calls.py
+++ b/tests/policy/test_counter_calls.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from gateway.policy.actions import StartAttempt
-from gateway.policy.engine import Policy
 from tests.support.policy import (
     START,
     FakeCounter,
@@ -16,6 +17,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 def test_further_requests_wait_for_the_lease_in_flight(policy: Policy) -> None:
     (first_call,) = counter_calls(policy.handle(START, make_request(0)))
--- a/tests/policy/test_counter_ledger.py
+++ b/tests/policy/test_counter_ledger.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from gateway.policy.actions import AddToCounter, StartAttempt
-from gateway.policy.engine import Policy
 from gateway.policy.events import Outcome
 from tests.support.policy import (
     START,
@@ -21,6 +22,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 # Quota levels drifted apart where each gateway alone knew of the overflow while the quota was full.
 def test_gateways_agree_on_a_quota_that_has_overflowed(
--- a/tests/policy/test_counter_rate_limiter.py
+++ b/tests/policy/test_counter_rate_limiter.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.policy.engine import Policy
+from typing import TYPE_CHECKING
+
 from gateway.policy.events import Outcome
 from tests.support.policy import (
     START,
@@ -10,6 +11,9 @@
     serve,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 def test_the_call_rate_falls_while_the_counter_fails_and_recovers(
     policy: Policy, counter: FakeCounter
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -7,6 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 from operator import methodcaller
+from typing import TYPE_CHECKING
 from unittest import mock
 
 import pytest
@@ -14,7 +15,6 @@
 from hypothesis import strategies as st
 
 from gateway.policy import engine
-from gateway.policy.actions import StartAttempt
 from gateway.policy.context import stable_hash
 from gateway.policy.endpoints import RING_ORDER, SUBSET_LIFETIME_SECONDS, Endpoint, EndpointTable
 from gateway.policy.engine import Policy
@@ -35,6 +35,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.actions import StartAttempt
+
 SETTINGS = {"peers_total": "40", "tariffs__0__quota_rate": "0"}
 STEP_SECONDS = 0.4
 
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -51,7 +51,7 @@
 
 def test_every_waiting_request_ends_in_time() -> None:
     policy = make_policy()
-    policy.handle(START, make_request(1, time_remaining=0.3))  # its lease is never answered
+    policy.handle(START, replace(make_request(1), time_remaining=0.3))  # its lease is never answered
     ended: list[Action] = []
     for tick in range(1, 13):
         ended += policy.handle(START + tick * TICK_SECONDS, TimerFired(1))
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -4,11 +4,10 @@
 
 import random
 from collections import deque
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import pytest
 
-from gateway.policy.actions import AddToCounter
 from gateway.policy.context import TICK_SECONDS
 from gateway.policy.events import CounterReply, Event, Outcome, TimerFired
 from tests.support.policy import (
@@ -22,6 +21,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.actions import AddToCounter
+
 GATEWAYS = 12
 GATEWAY_SET_SIZE = 6
 CUSTOMERS = 60
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from gateway.policy.actions import Fail, Reject
-from gateway.policy.engine import Policy
 from gateway.policy.events import EndpointUpdate, UpdateKind
 from tests.support.policy import (
     START,
@@ -19,6 +20,9 @@
     serve_many,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 def test_credits_expire_at_the_windows_edge(policy: Policy, counter: FakeCounter) -> None:
     serve(policy, counter, START, 1)
--- a/tests/policy/test_lease_table.py
+++ b/tests/policy/test_lease_table.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.policy.engine import Policy
+from typing import TYPE_CHECKING
+
 from gateway.policy.events import Outcome, TimerFired
 from gateway.policy.lease_table import MAX_IDLE_SECONDS
 from tests.support.policy import (
@@ -15,6 +16,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 def test_idle_leases_are_forgotten(policy: Policy, counter: FakeCounter) -> None:
     serve(policy, counter, START, 1)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from gateway.policy.actions import Action, Probe
-from gateway.policy.endpoints import Endpoint
-from gateway.policy.engine import Policy
 from gateway.policy.events import (
     Outcome,
     ProbeFinished,
@@ -24,6 +24,10 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.endpoints import Endpoint
+    from gateway.policy.engine import Policy
+
 
 def expected_latency(policy: Policy, endpoint: Endpoint) -> float:
     mean_latency = policy.concurrency_limiter.mean_latency
--- a/tests/policy/test_local_admission.py
+++ b/tests/policy/test_local_admission.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.policy.engine import Policy
+from typing import TYPE_CHECKING
+
 from gateway.policy.events import Outcome, ProbeFinished
 from tests.support.policy import (
     START,
@@ -17,6 +18,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 
 def test_an_unresponsive_counter_leaves_the_local_quota(policy: Policy, counter: FakeCounter) -> None:
     counter.outcome = Outcome.TIMEOUT
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import random
+from typing import TYPE_CHECKING
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from gateway.policy.context import stable_hash
-from gateway.policy.engine import Policy
 from gateway.policy.events import Outcome, TimerFired
 from tests.support.policy import (
     START,
@@ -25,6 +25,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 Step = tuple[float, int]  # seconds since the step before, and the index of the gateway
 
 
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from gateway.policy.actions import Action, Cancel, Fail, Reject, StartAttempt
 from gateway.policy.context import TICK_SECONDS
-from gateway.policy.engine import Policy
 from gateway.policy.events import (
     ClientDisconnected,
     Outcome,
@@ -25,6 +26,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.engine import Policy
+
 HUNG_ENDPOINT = 3
 
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 from collections import Counter
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateway.policy.endpoints import Endpoint
-from gateway.policy.engine import Policy
 from gateway.policy.events import (
     EndpointRecord,
     EndpointState,
@@ -18,7 +16,6 @@
     Outcome,
     UpdateKind,
 )
-from gateway.policy.pending_request import PendingRequest
 from gateway.policy.subsetting import MIN_GATEWAYS_PER_ENDPOINT, MIN_SUBSET_SIZE, choose_subset, ring_offset
 from tests.support.endpoints import endpoint_ids
 from tests.support.policy import (
@@ -32,6 +29,11 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from gateway.policy.endpoints import Endpoint
+    from gateway.policy.engine import Policy
+    from gateway.policy.pending_request import PendingRequest
+
 GATEWAY_COUNT = 40
 ENDPOINT_COUNT = 60
 NEIGHBOURS = 8  # gateways of one customer
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
 from gateway.policy.actions import Action, AddToCounter, StartAttempt
 from gateway.policy.engine import Policy
@@ -17,10 +17,14 @@
     Request,
     UpdateKind,
 )
-from gateway.policy.lease import Lease
 from gateway.policy.rate_ledger import RateLedger
 from gateway.settings_parser import parse_settings
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from gateway.policy.lease import Lease
+
 BASE = {
     "me": "0",
     "peers_total": "3",
@@ -85,7 +89,6 @@
     cls: int = 0,
     plan: int = 0,
     customer: int = 5,
-    time_remaining: float = 4.0,
     gateway_set_size: int = 3,
 ) -> Request:
     return Request(
@@ -93,7 +96,7 @@
         cls,
         plan,
         customer,
-        time_remaining,
+        time_remaining=4.0,
         units=1.0,
         gateway_set_size=gateway_set_size,
         first_gateway=0,
