--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -5,6 +5,7 @@
 import asyncio
 import logging
 import select
+import time
 from typing import TYPE_CHECKING, Protocol, cast
 
 from gateway.policy.events import Outcome
@@ -81,6 +82,10 @@
         """
         return self.is_open and not self.readable.poll(0)
 
+    def mark_idle(self) -> None:
+        """Note that the connection waits for its next attempt from now on."""
+        self.idle_since = time.monotonic()
+
     def carry(self, attempt: Attempt) -> None:
         """Write an attempt's request and wait for the response."""
         assert self.transport is not None
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -166,7 +166,7 @@
         if self.is_removed:
             connection.abort()
             return
-        connection.idle_since = time.monotonic()
+        connection.mark_idle()
         self.idle.append(connection)
 
     def discard(self, connection: UpstreamConnection) -> None:
