--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -11,9 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-RESPONSE_MARGIN_SECONDS = (
-    0.015  # before the client's deadline; the driver then responds if the policy has not
-)
+RESPONSE_MARGIN_SECONDS = 0.015  # before the client's deadline: the driver responds if the policy has not
 
 
 class OpenRequests:
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -15,9 +15,7 @@
     from gateway.policy.load_balancer import LoadBalancer
     from gateway.policy.pending_request import PendingRequest
 
-SILENT_LATENCIES = (
-    6.0  # mean latencies of a class without a response, after which an endpoint is silent for it
-)
+SILENT_LATENCIES = 6.0  # mean latencies of a class, after which an endpoint without a response is silent
 LOST_LATENCIES = 10.0  # the same, after which an attempt is lost at an endpoint that responds to others
 BACKOFF_BASE = 2.0  # on both, for each attempt that the request has had before
 BUDGET_PER_REQUEST = 0.1  # attempts in place of stalled ones, for each first attempt
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -171,7 +171,8 @@
 
 def test_the_policy_imports_the_standard_library_and_its_own_package_only() -> None:
     names = {name for path in POLICY for name in imported_modules(path)}
-    outside = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names and n != "__future__"}
+    standard_names = {*sys.stdlib_module_names, "__future__"}
+    outside = {name for name in names if name.split(".")[0] not in standard_names}
     own = {module_name(path) for path in POLICY}
     assert outside <= POLICY_TYPES | own
     assert not {name.split(".")[0] for name in names} & FORBIDDEN_IN_POLICY
