--- a/gateway/frontend/exchange.py
+++ b/gateway/frontend/exchange.py
@@ -37,11 +37,16 @@
     def submit(self, driver: PolicyDriver, request: SubmittedRequest) -> None:
         """Submit the request to the policy."""
         self._driver = driver
-        self._open_request = driver.submit(request, request.deadline)
+        open_request = driver.submit(request, request.deadline)
+        if self.response is None:  # the policy may have decided at once
+            self._open_request = open_request
 
     def reply(self, response: Response) -> None:
         """Set the response, and write it once its turn has come."""
         self.response = response
+        # The open request refers to this exchange: without this, only the garbage collector would free both,
+        # and with them the bodies of the request and its response.
+        self._open_request = None
         self._owner.flush()
 
     def reply_and_close(self, response: Response) -> None:
