--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
-from typing import Any
+import gc
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
+from gateway.driver.open_request import OpenRequest
+from gateway.frontend.exchange import Exchange
 from gateway.frontend.request_reader import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from gateway.policy.actions import Action, Reject
 from gateway.policy.events import Request
@@ -13,6 +16,12 @@
 from tests.support.fake_endpoint import FakeEndpoint
 from tests.support.gateway import UNREACHABLE, gateway_with_client
 from tests.support.http_messages import http_response
+from tests.support.scripted_policy import forward_to_first
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from tests.support.scripted_policy import Reaction
 
 
 @async_test
@@ -118,3 +127,30 @@
         response = await gateway.client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
         assert response.status == 400
         assert not gateway.policy.events
+
+
+@pytest.fixture
+def no_garbage_collection() -> Iterator[None]:
+    gc.collect()
+    gc.disable()
+    yield
+    gc.enable()
+
+
+def reject_at_once(event: Any) -> list[Action]:
+    return [Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
+
+
+# Guards against bodies that stay in memory until the garbage collector finds them, which may take long.
+@pytest.mark.usefixtures("no_garbage_collection")
+@pytest.mark.parametrize(
+    "react",
+    [pytest.param(forward_to_first, id="served"), pytest.param(reject_at_once, id="rejected at once")],
+)
+@async_test
+async def test_an_answered_request_is_freed_without_the_garbage_collector(react: Reaction) -> None:
+    async with gateway_with_client(FakeEndpoint(), react=react) as gateway:
+        await gateway.client.ask()
+        await gateway.client.ask()
+        kept = [kept for kept in gc.get_objects() if isinstance(kept, Exchange | OpenRequest)]
+        assert kept == []
