--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -39,7 +39,7 @@
 class Admission:
     """Takes a credit of each of a request's leases before it is dispatched.
 
-    The engine calls `open` and `admit` for a new request, `stop_waiting` if its client disconnects, and
+    The engine calls `register` and `admit` for a new request, `stop_waiting` if its client disconnects, and
     `release` at its end; it hands over the counter's replies, and calls `retry_deferred_leases` at each tick.
 
     Attributes:
@@ -75,7 +75,7 @@
             self.local.start(lease, grant_ratio, is_retry=request.is_retry)
         return lease
 
-    def open(self, pending: PendingRequest) -> None:
+    def register(self, pending: PendingRequest) -> None:
         """Find the leases that a new request needs a credit of."""
         request = pending.request
         leases = [self.lease_for(request, kind) for kind in self.kinds_by_plan[request.plan_index]]
--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -6,7 +6,7 @@
 from itertools import takewhile
 from typing import TYPE_CHECKING
 
-from gateway.policy.context import LATENCY_WEIGHT, REPORT_WEIGHT, TARGET_FRACTION, Context
+from gateway.policy.context import LATENCY_TARGET_FRACTION, LATENCY_WEIGHT, REPORT_WEIGHT, Context
 from gateway.policy.moving_average import MovingAverage
 from gateway.policy.outlier_detector import INITIAL_LATENCY_SECONDS, OUTLIER_FACTOR
 
@@ -46,7 +46,7 @@
         self.context = context
         self.endpoints = endpoints
         self.concurrency_limit = INITIAL_LIMIT / context.gateway_count
-        self.latency_target = TARGET_FRACTION * min(objectives, default=1.0)
+        self.latency_target = LATENCY_TARGET_FRACTION * min(objectives, default=1.0)
         self.lateness = MovingAverage(0.0, LATE_WEIGHT)
         self.lowered_at = 0.0
         self.latency = MovingAverage(INITIAL_LATENCY_SECONDS, MEAN_LATENCY_WEIGHT)
--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -15,7 +15,7 @@
 EPSILON = 1e-4  # units; totals of the counter come back with seven digits
 LATENCY_WEIGHT = 0.1  # of the newest latency in a moving average
 REPORT_WEIGHT = 0.3  # of the newest grant or load report, and of reported against own attempts in flight
-TARGET_FRACTION = 0.5  # of a class's latency objective that is aimed at
+LATENCY_TARGET_FRACTION = 0.5  # of a class's latency objective that is aimed at
 DECAY_SECONDS = 5.0  # time constant with which an observed load or an outlier's latency fades
 
 
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -106,7 +106,7 @@
             arrived_at=now,
             deadline=now + request.time_remaining,
         )
-        self.admission.open(pending)
+        self.admission.register(pending)
         self.pending[request.request_id] = pending
         self.load_balancer.probe()
         if request.time_remaining < MIN_TIME_REMAINING_SECONDS:
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from gateway.policy.actions import Probe
-from gateway.policy.context import TARGET_FRACTION, Context
+from gateway.policy.context import LATENCY_TARGET_FRACTION, Context
 from gateway.policy.endpoint_scorer import EndpointScorer
 from gateway.policy.events import AttemptFinished, Outcome
 from gateway.policy.load_report import REPORT_LIFETIME_SECONDS
@@ -132,7 +132,7 @@
             class_index = pending.request.class_index
             detector.record_response(class_index, now)
             self.limiter.record_response(attempt.endpoint.load_report, class_index, latency)
-            late = latency > TARGET_FRACTION * pending.request_class.latency_objective
+            late = latency > LATENCY_TARGET_FRACTION * pending.request_class.latency_objective
         detector.record_outcome(latency, now)
         return late
 
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def policy() -> Policy:
-    """One of three gateways, with six endpoints and the settings of `BASE`."""
+    """One of three gateways, with six endpoints and the settings of `BASE_SETTINGS`."""
     return make_policy()
 
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -12,7 +12,7 @@
 from tests.support.fake_discovery import host_line
 from tests.support.fake_server import FakeServer, Handler, server_address
 from tests.support.http_client import HttpClient
-from tests.support.policy import BASE
+from tests.support.policy import BASE_SETTINGS
 from tests.support.scripted_policy import Reaction, ScriptedPolicy, do_nothing, forward_to_first
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         discovery: Address of the discovery agent.
         changes: Changed settings (dots written as double underscores).
     """
-    settings = BASE | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
+    settings = BASE_SETTINGS | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
     settings |= {key.replace("__", "."): value for key, value in changes.items()}
     if not counter:
         settings["extra.has_counter"] = "false"
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -25,7 +25,7 @@
 
     from gateway.policy.lease import Lease
 
-BASE = {
+BASE_SETTINGS = {
     "me": "0",
     "peers_total": "3",
     "az": "0",
@@ -51,7 +51,7 @@
 }
 EFFECTS = ("safe", "keyed", "unsafe")
 for index, effect in enumerate(EFFECTS):
-    BASE |= {
+    BASE_SETTINGS |= {
         f"classes.{index}.name": f"class-{index}",
         f"classes.{index}.goal_time_s": "2.0",
         f"classes.{index}.deadline_s": "4.0",
@@ -66,14 +66,14 @@
     {"parallel": "2", "over_cost": "0.5"},
 )
 for index, plan in enumerate(PLANS):
-    BASE |= {f"tariffs.{index}.name": f"plan-{index}", f"tariffs.{index}.pays": "1.0"}
-    BASE |= {f"tariffs.{index}.{key}": value for key, value in plan.items()}
+    BASE_SETTINGS |= {f"tariffs.{index}.name": f"plan-{index}", f"tariffs.{index}.pays": "1.0"}
+    BASE_SETTINGS |= {f"tariffs.{index}.{key}": value for key, value in plan.items()}
 START = 100.0
 
 
 def settings_text(**changes: str) -> str:
     """Return the settings text, with keys changed (dots written as double underscores)."""
-    values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
+    values = BASE_SETTINGS | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
 
