--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -7,8 +7,8 @@
 
 from gateway.policy.admission_ticket import AdmissionTicket
 from gateway.policy.context import EPSILON, Context
-from gateway.policy.counter_calls import CounterCalls, ReplyMeaning
-from gateway.policy.quota_factory import limited_kinds
+from gateway.policy.counter_calls import CounterCalls, LeaseResult
+from gateway.policy.quota_factory import quota_kinds
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -43,9 +43,9 @@
     `release` at its end; it hands over the counter's replies, and calls `retry_deferred_leases` at each tick.
 
     Attributes:
-        kinds_by_plan: The kinds of quota of each plan, in the order of the settings.
+        quota_kinds_by_plan: The kinds of quota of each plan, in the order of the settings.
         tickets: What pending requests need and hold, by request id.
-        deferred: Leases that have waiters, but for which no call may be made yet.
+        deferred_leases: Leases that have waiters, but for which no call may be made yet.
     """
 
     def __init__(
@@ -53,32 +53,32 @@
         context: Context,
         leases: LeaseTable,
         calls: CounterCalls,
-        local: LocalAdmission,
+        local_admission: LocalAdmission,
         callbacks: AdmissionCallbacks,
     ) -> None:
         self.context = context
         self.leases = leases
         self.calls = calls
         self.rate_limiter = calls.rate_limiter
-        self.local = local
+        self.local_admission = local_admission
         self.dispatch = callbacks.dispatch
         self.reject = callbacks.reject
-        self.kinds_by_plan = [limited_kinds(plan) for plan in context.settings.plans]
+        self.quota_kinds_by_plan = [quota_kinds(plan) for plan in context.settings.plans]
         self.tickets: dict[int, AdmissionTicket] = {}
-        self.deferred: dict[LeaseKey, Lease] = {}
+        self.deferred_leases: dict[LeaseKey, Lease] = {}
 
     def lease_for(self, request: Request, kind: QuotaKind) -> Lease:
         """Return the lease that a request needs a credit of."""
-        lease = self.leases.use(request, kind)
+        lease = self.leases.get_or_create(request, kind)
         if not lease.local_tokens.updated_at:
             grant_ratio = self.calls.grant_ratio(lease.quota.plan)
-            self.local.start(lease, grant_ratio, is_retry=request.is_retry)
+            self.local_admission.initialize_tokens(lease, grant_ratio, is_retry=request.is_retry)
         return lease
 
     def register(self, pending: PendingRequest) -> None:
         """Find the leases that a new request needs a credit of."""
         request = pending.request
-        leases = [self.lease_for(request, kind) for kind in self.kinds_by_plan[request.plan_index]]
+        leases = [self.lease_for(request, kind) for kind in self.quota_kinds_by_plan[request.plan_index]]
         self.tickets[request.request_id] = AdmissionTicket(pending, leases)
 
     def admit(self, pending: PendingRequest) -> None:
@@ -100,11 +100,11 @@
 
     def _admit(self, ticket: AdmissionTicket) -> None:
         for lease in ticket.leases:
-            if lease not in ticket.credits_held and not self._take_credit(lease, ticket):
+            if lease not in ticket.acquired_credits and not self._acquire_credits(lease, ticket):
                 return
         self.dispatch(ticket.pending)
 
-    def _take_credit(self, lease: Lease, ticket: AdmissionTicket) -> bool:
+    def _acquire_credits(self, lease: Lease, ticket: AdmissionTicket) -> bool:
         """Return whether a request gets its credit at once; else it waits or is rejected."""
         pending = ticket.pending
         now = self.context.now
@@ -116,20 +116,20 @@
             self.reject(pending, lease.grants.denied_until - now)
             return False
         may_request = self.may_wait_for_lease(pending) or self.rate_limiter.may_call()
-        if not may_request or self.local.should_spare_call(lease, units):
-            return self._spend_locally(lease, ticket, units)
+        if not may_request or self.local_admission.should_skip_counter_call(lease, units):
+            return self._acquire_local_credits(lease, ticket, units)
         lease.add_waiter(pending)
         if not lease.request.in_flight:
             self._request_or_defer(lease)
         return False
 
     def _spend(self, lease: Lease, ticket: AdmissionTicket, units: float) -> None:
-        self.local.spend(lease, units)
+        self.local_admission.spend(lease, units)
         self.leases.spend(lease, ticket, units)
 
-    def _spend_locally(self, lease: Lease, ticket: AdmissionTicket, units: float) -> bool:
+    def _acquire_local_credits(self, lease: Lease, ticket: AdmissionTicket, units: float) -> bool:
         """Spend of the local quota, to be added when the counter is available, or reject."""
-        if not self.local.has_tokens(lease, units):
+        if not self.local_admission.has_tokens(lease, units):
             self.reject(ticket.pending, self.context.settings.limits.max_retry_after / 2)
             return False
         lease.add_local_credits(units)
@@ -141,7 +141,7 @@
             if pending.closed:
                 continue
             ticket = self.tickets[pending.request.request_id]
-            if self._spend_locally(lease, ticket, lease.quota.units_of(pending)):
+            if self._acquire_local_credits(lease, ticket, lease.quota.units_of(pending)):
                 self._admit(ticket)
 
     def may_wait_for_lease(self, pending: PendingRequest) -> bool:
@@ -152,21 +152,21 @@
 
     def _request_or_defer(self, lease: Lease) -> None:
         if self.rate_limiter.may_call() and self.context.now >= lease.grants.retry_at:
-            self.deferred.pop(lease.quota.key, None)
+            self.deferred_leases.pop(lease.quota.key, None)
             self.calls.request_lease(lease)
         else:
-            self.deferred[lease.quota.key] = lease
+            self.deferred_leases[lease.quota.key] = lease
 
     def retry_deferred_leases(self) -> None:
         """Request deferred leases, least denied first; admit locally what has waited too long."""
-        by_denials = sorted(self.deferred.items(), key=lambda item: item[1].grants.consecutive_denials)
+        by_denials = sorted(self.deferred_leases.items(), key=lambda item: item[1].grants.consecutive_denials)
         for key, lease in by_denials:
             overdue = [pending for pending in lease.waiters if not self.may_wait_for_lease(pending)]
             for pending in overdue:
                 lease.remove_waiter(pending)
             self._admit_locally(lease, overdue)
             if not lease.waiters or lease.request.in_flight:
-                self.deferred.pop(key, None)
+                self.deferred_leases.pop(key, None)
             else:
                 self._request_or_defer(lease)
 
@@ -176,19 +176,19 @@
         if reply is None:
             return
         lease = reply.lease
-        match reply.meaning:
-            case ReplyMeaning.REJECTED:
+        match reply.result:
+            case LeaseResult.REJECTED:
                 self._defer_after_rejection(lease)
                 return
-            case ReplyMeaning.NO_REPLY:
-                self._admit_locally(lease, lease.take_waiters())
+            case LeaseResult.NO_REPLY:
+                self._admit_locally(lease, lease.pop_waiters())
                 return
-            case ReplyMeaning.GRANTED:
+            case LeaseResult.GRANTED:
                 self._serve_waiters(lease, denied=False)
-            case ReplyMeaning.DENIED:
+            case LeaseResult.DENIED:
                 self._serve_waiters(lease, denied=True)
-        has_total = reply.meaning is not ReplyMeaning.EXPIRED
-        if has_total and reply.is_first and not lease.request.in_flight:
+        is_current = reply.result is not LeaseResult.EXPIRED
+        if is_current and reply.is_first_in_window and not lease.request.in_flight:
             self.calls.report_carry_over(lease)
         elif lease.waiters:
             self.calls.request_lease(lease)
@@ -197,7 +197,7 @@
         """Request a lease again when the counter may be less loaded, after a random delay."""
         delay = self.context.settings.counter_timeout * (0.5 + self.context.random.random())
         lease.grants.postpone_call(self.context.now + delay)
-        self.deferred[lease.quota.key] = lease
+        self.deferred_leases[lease.quota.key] = lease
 
     def _serve_waiters(self, lease: Lease, *, denied: bool) -> None:
         served = []
@@ -226,7 +226,7 @@
         if denial.is_contended:
             delay *= self._denial_backoff(lease)
         lease.grants.deny_until(now + delay)
-        rejected = [pending for pending in lease.take_waiters() if not pending.closed]
+        rejected = [pending for pending in lease.pop_waiters() if not pending.closed]
         for pending in rejected:
             self.reject(pending, lease.grants.denied_until - now)
 
--- a/gateway/policy/admission_ticket.py
+++ b/gateway/policy/admission_ticket.py
@@ -17,17 +17,17 @@
     Attributes:
         pending: The request.
         leases: One lease for each quota of its customer's plan.
-        credits_held: The leases whose credit it holds, each with the refill time in which it was taken.
+        acquired_credits: The leases whose credit it holds, each with the refill time in which it was taken.
     """
 
     pending: PendingRequest
     leases: list[Lease]
-    credits_held: dict[Lease, int] = field(default_factory=dict)
+    acquired_credits: dict[Lease, int] = field(default_factory=dict)
 
-    def hold_credit(self, lease: Lease) -> None:
+    def add_credits(self, lease: Lease) -> None:
         """Record that the request has taken a credit of a lease in its present refill time."""
-        self.credits_held[lease] = lease.clock.refill_index
+        self.acquired_credits[lease] = lease.clock.refill_index
 
-    def drop_credit(self, lease: Lease) -> None:
+    def remove_credits(self, lease: Lease) -> None:
         """Record that the request no longer holds its credit of a lease."""
-        del self.credits_held[lease]
+        del self.acquired_credits[lease]
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -9,10 +9,10 @@
 
 from gateway.policy.actions import AddToCounter, Log
 from gateway.policy.context import EPSILON, LATENCY_WEIGHT, Context
-from gateway.policy.counter_ledger import CounterTotal
+from gateway.policy.counter_ledger import TotalUpdate
 from gateway.policy.events import CounterReply, Outcome
 from gateway.policy.moving_average import MovingAverage
-from gateway.policy.quota import Grant, Shortfall
+from gateway.policy.quota import Grant, OverQuotaLease
 
 if TYPE_CHECKING:
     from gateway.policy.counter_rate_limiter import CounterRateLimiter
@@ -24,7 +24,7 @@
 INITIAL_GRANT_RATIO = 0.5  # of a plan's leases, before the first reply
 
 
-class ReplyMeaning(Enum):
+class LeaseResult(Enum):
     """What a reply means for the lease that was requested."""
 
     EXPIRED = auto()  # the call's window has ended
@@ -41,30 +41,30 @@
 
     Attributes:
         lease: The lease.
-        meaning: What the reply means for it.
-        is_first: Whether what others have added in this window was not known before.
+        result: What the reply means for it.
+        is_first_in_window: Whether what others have added in this window was not known before.
     """
 
     lease: Lease
-    meaning: ReplyMeaning
-    is_first: bool
+    result: LeaseResult
+    is_first_in_window: bool
 
 
 @dataclass(slots=True)
-class PendingAdd:
+class PendingCall:
     """A call in flight that adds to the total of a lease's window.
 
     Attributes:
         lease: The lease.
         window_index: Number of the window.
         amount: Units that the call adds; below 0 for a return.
-        is_return: Whether the call returns or corrects units, and is no request for a lease.
+        is_adjustment: Whether the call returns or corrects units, and is no request for a lease.
     """
 
     lease: Lease
     window_index: int
     amount: float
-    is_return: bool
+    is_adjustment: bool
 
 
 class CounterCalls:
@@ -74,14 +74,14 @@
     `LeaseTable` returns what is no longer needed.
 
     Attributes:
-        pending_adds: The calls in flight by the counter's name, oldest first.
+        calls_in_flight: The calls in flight by the counter's name, oldest first.
         plan_grant_ratios: Average of the requests that were granted in full, by the plan's name.
     """
 
     def __init__(self, context: Context, rate_limiter: CounterRateLimiter) -> None:
         self.context = context
         self.rate_limiter = rate_limiter
-        self.pending_adds: dict[int, deque[PendingAdd]] = {}
+        self.calls_in_flight: dict[int, deque[PendingCall]] = {}
         self.plan_grant_ratios = {
             plan.name: MovingAverage(INITIAL_GRANT_RATIO, LATENCY_WEIGHT) for plan in context.settings.plans
         }
@@ -98,11 +98,11 @@
         needed = lease.awaited_units() - lease.credits
         batch = ledger.next_batch(lease.sizer.batch_size, self.context.now)
         amount = max(needed, 1.0, batch.units)
-        lease.request.start(amount, batch.overflow_units)
+        lease.request.mark_sent(amount, batch.overflow_units)
         # What others have added in this window is known with the first reply: see `report_carry_over`.
-        if ledger.may_add_unreported():
-            amount = amount + ledger.take_unreported() + batch.overflow_units
-        self._add(lease, amount, is_return=False)
+        if ledger.may_report_units():
+            amount = amount + ledger.pop_unreported_units() + batch.overflow_units
+        self._add(lease, amount, is_adjustment=False)
 
     def report_carry_over(self, lease: Lease) -> None:
         """Add what the quota lacked at the window's edge and its overflow since, if nobody has."""
@@ -110,31 +110,31 @@
         # A unit or more cannot wait for calls to spare: each gateway that requests it would be granted it.
         is_urgent = abs(units) >= 1
         if is_urgent or (abs(units) >= MIN_CORRECTION and self.rate_limiter.may_call()):
-            lease.ledger.take_unreported()
-            lease.request.start_carry_over()
-            self._add(lease, units, is_return=False)
+            lease.ledger.pop_unreported_units()
+            lease.request.mark_carry_over_sent()
+            self._add(lease, units, is_adjustment=False)
 
     def return_units(self, lease: Lease, units: float) -> None:
         """Take units off the total."""
         if units > EPSILON:
-            self._add(lease, -units, is_return=True)
+            self._add(lease, -units, is_adjustment=True)
 
     def return_slots(self, lease: Lease, slots: float) -> None:
         """Take the slots of an ended request off the total, or off what is still to be added to it."""
         if not self.rate_limiter.may_call() or lease.ledger.unreported_units > 0:
-            lease.ledger.report_later(-slots)
+            lease.ledger.defer_report(-slots)
         else:
             self.return_units(lease, slots)
 
     def report_overdue_units(self, lease: Lease) -> None:
         """Add unreported units that should not wait for the next request."""
-        self._add(lease, lease.ledger.take_unreported(), is_return=True)
+        self._add(lease, lease.ledger.pop_unreported_units(), is_adjustment=True)
 
-    def _add(self, lease: Lease, amount: float, *, is_return: bool) -> None:
+    def _add(self, lease: Lease, amount: float, *, is_adjustment: bool) -> None:
         window_index = lease.ledger.window_index
         name = lease.quota.counter_name(window_index)
-        call = PendingAdd(lease, window_index, amount, is_return)
-        self.pending_adds.setdefault(name, deque()).append(call)
+        call = PendingCall(lease, window_index, amount, is_adjustment)
+        self.calls_in_flight.setdefault(name, deque()).append(call)
         lease.ledger.record_call(amount)
         expiry = min(EXPIRY_SECONDS, 4 * lease.quota.window_length)
         self.context.actions.append(AddToCounter(name, amount, expiry))
@@ -142,68 +142,70 @@
 
     def handle_reply(self, reply: CounterReply) -> LeaseReply | None:
         """Account for the oldest call of that name; return what the reply means if it requested a lease."""
-        call = self._take_oldest_call(reply.name)
+        call = self._pop_oldest_call(reply.name)
         if call is None:
             return None
         lease = call.lease
         self.rate_limiter.record_reply(reply)
         lease.roll_window(self.context.now)
         is_current = call.window_index == lease.ledger.window_index
-        is_first = not lease.ledger.may_add_unreported()
+        is_first_in_window = not lease.ledger.may_report_units()
         if is_current and reply.outcome is Outcome.OK:
-            later_units = sum(later.amount for later in self.pending_adds.get(reply.name, ()))
-            total = CounterTotal(reply.total, call.amount, later_units, self.context.now, is_first)
+            in_flight_units = sum(later.amount for later in self.calls_in_flight.get(reply.name, ()))
+            total = TotalUpdate(
+                reply.total, call.amount, in_flight_units, self.context.now, is_first_in_window
+            )
             self._reconcile(call, total)
         elif is_current:
-            lease.handle_failed_call(call.amount, reply.outcome, is_return=call.is_return)
-        if call.is_return:
+            lease.handle_failed_call(call.amount, reply.outcome, is_adjustment=call.is_adjustment)
+        if call.is_adjustment:
             return None
-        lease.request.finish()
-        meaning = self._apply_outcome(lease, reply.outcome) if is_current else ReplyMeaning.EXPIRED
-        return LeaseReply(lease, meaning, is_first)
+        lease.request.mark_finished()
+        result = self._apply_outcome(lease, reply.outcome) if is_current else LeaseResult.EXPIRED
+        return LeaseReply(lease, result, is_first_in_window)
 
-    def _take_oldest_call(self, name: int) -> PendingAdd | None:
-        pending_adds = self.pending_adds.get(name)
-        if not pending_adds:
+    def _pop_oldest_call(self, name: int) -> PendingCall | None:
+        calls_in_flight = self.calls_in_flight.get(name)
+        if not calls_in_flight:
             return None
-        call = pending_adds.popleft()
-        if not pending_adds:
-            del self.pending_adds[name]
+        call = calls_in_flight.popleft()
+        if not calls_in_flight:
+            del self.calls_in_flight[name]
         return call
 
-    def _apply_outcome(self, lease: Lease, outcome: Outcome) -> ReplyMeaning:
+    def _apply_outcome(self, lease: Lease, outcome: Outcome) -> LeaseResult:
         """Return what a reply in the lease's current window means, and keep what it grants."""
         if outcome.never_ran:
-            return ReplyMeaning.REJECTED
+            return LeaseResult.REJECTED
         if outcome is not Outcome.OK:
-            return ReplyMeaning.NO_REPLY
+            return LeaseResult.NO_REPLY
         if not lease.request.requested_units:
-            return ReplyMeaning.REPORTED
-        return ReplyMeaning.GRANTED if self._apply_grant(lease) else ReplyMeaning.DENIED
+            return LeaseResult.REPORTED
+        return LeaseResult.GRANTED if self._apply_grant(lease) else LeaseResult.DENIED
 
-    def _reconcile(self, call: PendingAdd, total: CounterTotal) -> None:
+    def _reconcile(self, call: PendingCall, total: TotalUpdate) -> None:
         """Take over a total of the current window, and correct it if it is wrong by much."""
         lease = call.lease
         if lease.ledger.reconcile(total):
             self.context.actions.append(Log(f"counter-lost customer={lease.quota.key.customer}"))
-        if call.is_return:
+        if call.is_adjustment:
             return
-        units = lease.ledger.correct(lease.request, total)
+        units = lease.ledger.correct_total(lease.request, total)
         if units <= -1 or (abs(units) >= MIN_CORRECTION and self.rate_limiter.may_call()):
-            self._add(lease, lease.ledger.take_unreported(), is_return=True)
+            self._add(lease, lease.ledger.pop_unreported_units(), is_adjustment=True)
 
     def _apply_grant(self, lease: Lease) -> bool:
         """Keep what the quota grants of the requested units, return the rest; return whether it was all."""
         now = self.context.now
         requested = lease.request.requested_units
-        excess = max(0.0, lease.ledger.excess(now))
-        all_granted = excess <= EPSILON
+        excess_units = max(0.0, lease.ledger.excess_units(now))
+        all_granted = excess_units <= EPSILON
         if all_granted:
-            grant = Grant(max(0.0, requested - excess))
+            grant = Grant(max(0.0, requested - excess_units))
         else:
-            shortfall = Shortfall(requested, excess, lease.credits, lease.usage.is_frequent)
-            grant = lease.quota.partial_grant(shortfall)
+            over_quota = OverQuotaLease(requested, excess_units, lease.credits, lease.usage.is_frequent)
+            grant = lease.quota.partial_grant(over_quota)
         self.return_units(lease, requested - grant.units)
-        lease.keep_grant(grant, now, all_granted=all_granted)
+        lease.add_grant(grant, now, all_granted=all_granted)
         self.plan_grant_ratios[lease.quota.plan.name].record(float(all_granted))
         return all_granted
--- a/gateway/policy/counter_ledger.py
+++ b/gateway/policy/counter_ledger.py
@@ -17,26 +17,26 @@
 
 
 @dataclass(slots=True)
-class CounterTotal:
+class TotalUpdate:
     """The counter's reply to a call that added units.
 
     Attributes:
         total: Units of all gateways in the window, after the call.
         amount: Units that the call added.
-        later_units: Units that this gateway's calls in flight behind it add.
+        in_flight_units: Units that this gateway's calls in flight behind it add.
         received_at: Unix time of the reply, in seconds.
-        is_first: Whether what others have added in this window was not known before.
+        is_first_in_window: Whether what others have added in this window was not known before.
     """
 
     total: float
     amount: float
-    later_units: float
+    in_flight_units: float
     received_at: float
-    is_first: bool
+    is_first_in_window: bool
 
 
 @dataclass(slots=True)
-class Batch:
+class LeaseBatch:
     """What a lease should request next.
 
     Attributes:
@@ -68,7 +68,7 @@
     Attributes:
         quota: The quota.
         window_index: Number of the window; -1 before the first one.
-        counter_total: The window's total as last seen, with this gateway's calls in flight.
+        estimated_total: The window's total as last seen, with this gateway's calls in flight.
         confirmed_units: Units that this gateway added, as far as the counter has confirmed it.
         unreported_units: Units that this gateway has still to add, or to take off if negative.
         synchronized: Whether the counter has replied in this window.
@@ -77,7 +77,7 @@
 
     quota: Quota
     window_index: int = -1
-    counter_total: float = 0.0
+    estimated_total: float = 0.0
     confirmed_units: float = 0.0
     unreported_units: float = 0.0
     synchronized: bool = False
@@ -85,13 +85,13 @@
 
     def record_call(self, amount: float) -> None:
         """Count the units that a call in flight adds."""
-        self.counter_total += amount
+        self.estimated_total += amount
 
-    def report_later(self, units: float) -> None:
+    def defer_report(self, units: float) -> None:
         """Keep units to be added by a later call."""
         self.unreported_units += units
 
-    def take_unreported(self) -> float:
+    def pop_unreported_units(self) -> float:
         """Return the units that are still to be added, as a call adds them now."""
         units = self.unreported_units
         self.unreported_units = 0.0
@@ -99,10 +99,10 @@
 
     def revert_call(self, amount: float, obsolete_units: float) -> None:
         """Keep what a call failed to add for a later one, but for the units that are of no more use."""
-        self.counter_total -= amount
+        self.estimated_total -= amount
         self.unreported_units += amount - obsolete_units
 
-    def reconcile(self, reply: CounterTotal) -> bool:
+    def reconcile(self, reply: TotalUpdate) -> bool:
         """Take over a total; return whether the counter had lost units that this gateway added."""
         self.confirmed_units += reply.amount
         has_lost_units = self.confirmed_units - reply.total > MIN_LOST_UNITS
@@ -110,16 +110,16 @@
             self.unreported_units += self._units_to_restore(reply)
             self.confirmed_units = reply.total
         elif reply.total > EPSILON:
-            self._settle_carry_over(reply)
+            self._deduplicate_carry_over(reply)
         self.synchronized = True
         self.synchronized_at = reply.received_at
-        self.counter_total = reply.total + reply.later_units
+        self.estimated_total = reply.total + reply.in_flight_units
         return has_lost_units
 
     def _start_window(self, window_index: int, unreported_units: float) -> None:
         """Begin an empty window, to which units are to be added."""
         self.window_index = window_index
-        self.counter_total = 0.0
+        self.estimated_total = 0.0
         self.confirmed_units = 0.0
         self.unreported_units = unreported_units
         self.synchronized = False
@@ -129,23 +129,23 @@
         """Begin a window, in which the lease's unspent credits have expired."""
 
     @abstractmethod
-    def record_no_reply(self, request: LeaseRequest) -> None:
+    def record_lost_reply(self, request: LeaseRequest) -> None:
         """Account for a request that the counter has likely added, without a reply."""
 
     @abstractmethod
-    def _units_to_restore(self, reply: CounterTotal) -> float:
+    def _units_to_restore(self, reply: TotalUpdate) -> float:
         """Return the units to add again after the counter has lost some."""
 
     @abstractmethod
-    def _settle_carry_over(self, reply: CounterTotal) -> None:
+    def _deduplicate_carry_over(self, reply: TotalUpdate) -> None:
         """Take off what another gateway has carried over into this window as well."""
 
     @abstractmethod
-    def correct(self, request: LeaseRequest, reply: CounterTotal) -> float:
+    def correct_total(self, request: LeaseRequest, reply: TotalUpdate) -> float:
         """Return the units to add, as the reply to a request shows that the total is wrong; 0 to leave it."""
 
     @abstractmethod
-    def may_add_unreported(self) -> bool:
+    def may_report_units(self) -> bool:
         """Return whether a request may add the unreported units too, before the counter has replied."""
 
     @abstractmethod
@@ -153,15 +153,15 @@
         """Return the unreported units that should not wait for the next request."""
 
     @abstractmethod
-    def next_batch(self, preferred_units: float, now: float) -> Batch:
+    def next_batch(self, batch_size: float, now: float) -> LeaseBatch:
         """Return what to request, if the lease prefers that many units at once."""
 
     @abstractmethod
-    def excess(self, now: float) -> float:
+    def excess_units(self, now: float) -> float:
         """Return the units by which the quota is exceeded; below 0 if it is not."""
 
     @abstractmethod
-    def used_fraction(self, now: float) -> float:
+    def quota_utilization(self, now: float) -> float:
         """Return the fraction of the quota that is in use."""
 
     @abstractmethod
@@ -169,11 +169,11 @@
         """Return whether other gateways may need the credits that idle here."""
 
     @abstractmethod
-    def is_half_full(self, now: float) -> bool:
+    def is_half_available(self, now: float) -> bool:
         """Return whether the quota was half full so recently that it can hardly have run dry since."""
 
     @abstractmethod
-    def are_grants_current(self, now: float) -> bool:
+    def is_grant_ratio_current(self, now: float) -> bool:
         """Return whether the customer's past grants say how much of the quota is left."""
 
     @abstractmethod
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -30,7 +30,7 @@
         enabled: Whether there is a counter.
         rate: Calls a second that this gateway may make.
         failure_ratio: Fraction of the calls that got no reply.
-        calls: The calls that may be made now.
+        call_tokens: The calls that may be made now.
     """
 
     def __init__(self, context: Context) -> None:
@@ -40,9 +40,9 @@
         self.timeout = settings.counter_timeout
         self.rate = INITIAL_CALLS_PER_SECOND / context.gateway_count if self.enabled else 0.0
         self.failure_ratio = MovingAverage(0.0, FAILURE_WEIGHT)
-        self.calls = TokenBucket(1 + context.random.random())
+        self.call_tokens = TokenBucket(1 + context.random.random())
         self._stable_rate = self.rate  # before an outage
-        self._lowered_at = 0.0
+        self._last_decrease_at = 0.0
         self._last_fast_reply_at = math.inf
 
     @property
@@ -76,27 +76,27 @@
     def _decrease_rate(self) -> None:
         """Back off once for the calls that were in flight together, and twice as far without replies."""
         now = self.context.now
-        if now - self._lowered_at <= 2 * self.timeout:
+        if now - self._last_decrease_at <= 2 * self.timeout:
             return
-        lowest = MIN_CALLS_PER_SECOND / self.context.gateway_count
+        min_rate = MIN_CALLS_PER_SECOND / self.context.gateway_count
         exponent = 2 if self.is_unavailable else 1
-        self.rate = max(lowest, self.rate * BACKOFF_FACTOR**exponent)
-        self._lowered_at = now
+        self.rate = max(min_rate, self.rate * BACKOFF_FACTOR**exponent)
+        self._last_decrease_at = now
         if not self.is_unavailable:
             self._stable_rate = self.rate
 
     def record_call(self) -> None:
         """Count a call that is made."""
-        self.calls.refill(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
-        self.calls.consume(1)
+        self.call_tokens.refill(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
+        self.call_tokens.consume(1)
 
     def _available_calls(self) -> float:
-        return self.calls.available(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
+        return self.call_tokens.available(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
 
     def may_call(self) -> bool:
         """Return whether a call may be made now."""
         # The bucket's capacity is above the one call that this is about.
-        return self.enabled and self.calls.available(self.context.now, self.rate, math.inf) >= 1.0
+        return self.enabled and self.call_tokens.available(self.context.now, self.rate, math.inf) >= 1.0
 
     def has_headroom(self) -> bool:
         """Return whether calls are left for those that only refine a decision."""
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -67,11 +67,11 @@
         if refill_index != clock.refill_index:
             if clock.refill_index >= 0:
                 self.update_batch_size(now)
-            self.usage.start_refill_time()
+            self.usage.reset_served_units()
         window_index = quota.window_index(now)
         if window_index != self.ledger.window_index:
             self._open_window(window_index)
-        clock.advance(now, refill_index, quota.next_edge(window_index, refill_index))
+        clock.advance(now, refill_index, quota.next_boundary(window_index, refill_index))
 
     def _open_window(self, window_index: int) -> None:
         self.ledger.open_window(window_index, self.credits, self.usage.slots_in_use)
@@ -81,8 +81,8 @@
 
     def update_batch_size(self, now: float) -> None:
         """Learn the batch size from the demand of the refill time that ends."""
-        used_fraction = self.ledger.used_fraction(now)
-        self.sizer.update(self.usage.served_units, used_fraction, self.quota.limit)
+        quota_utilization = self.ledger.quota_utilization(now)
+        self.sizer.update(self.usage.served_units, quota_utilization, self.quota.limit)
 
     def record_request(self, now: float) -> None:
         """Bring the lease up to date for a request that needs a credit of it."""
@@ -92,19 +92,19 @@
     def spend(self, units: float) -> None:
         """Spend credits on a request."""
         self.credits -= units
-        self.usage.record_credit(units)
+        self.usage.record_spend(units)
 
     def add_local_credits(self, units: float) -> None:
         """Add credits that the counter has still to be told of."""
         self.credits += units
-        self.ledger.report_later(units)
+        self.ledger.defer_report(units)
 
     def release(self, refunded_units: float) -> None:
         """Take back what an ended request held of this lease."""
         self.usage.record_release()
         self.credits += refunded_units
 
-    def keep_grant(self, grant: Grant, now: float, *, all_granted: bool) -> None:
+    def add_grant(self, grant: Grant, now: float, *, all_granted: bool) -> None:
         """Keep what the quota granted of the requested units."""
         if not all_granted:
             self.accruing_credits = grant.accruing_units
@@ -112,20 +112,20 @@
         self.grants.record(all_granted=all_granted)
         self.credits += grant.units
 
-    def take_credits(self) -> float:
+    def pop_credits(self) -> float:
         """Return all credits, which the lease then no longer has."""
         units = self.credits
         self.credits = 0.0
         return units
 
-    def handle_failed_call(self, amount: float, outcome: Outcome, *, is_return: bool) -> None:
+    def handle_failed_call(self, amount: float, outcome: Outcome, *, is_adjustment: bool) -> None:
         """Account for a failed call.  Without a reply a request was likely added; returns are repeated."""
         request = self.request
         if amount <= 0 or outcome.never_ran:
-            obsolete_units = 0.0 if is_return else request.requested_units + request.overflow_units
+            obsolete_units = 0.0 if is_adjustment else request.requested_units + request.overflow_units
             self.ledger.revert_call(amount, obsolete_units)
-        elif not is_return:
-            self.ledger.record_no_reply(request)
+        elif not is_adjustment:
+            self.ledger.record_lost_reply(request)
 
     def denial(self, now: float) -> Denial:
         """Return how long to reject requests after a denied request for units."""
@@ -149,7 +149,7 @@
         if pending in self.waiters:
             self.waiters.remove(pending)
 
-    def take_waiters(self) -> deque[PendingRequest]:
+    def pop_waiters(self) -> deque[PendingRequest]:
         """Return all waiters, which then wait no more."""
         waiters = self.waiters
         self.waiters = deque()
--- a/gateway/policy/lease_clock.py
+++ b/gateway/policy/lease_clock.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-EDGE_MARGIN_SECONDS = 1e-3  # before an edge, in which the indices are computed each time: it is rounded
+BOUNDARY_MARGIN_SECONDS = 1e-3  # before an edge, in which the indices are computed each time: it is rounded
 
 
 @dataclass(slots=True)
@@ -22,8 +22,8 @@
     checked_at: float = math.inf
     unchanged_until: float = -math.inf
 
-    def advance(self, now: float, refill_index: int, next_edge: float) -> None:
+    def advance(self, now: float, refill_index: int, next_boundary: float) -> None:
         """Set the refill time, and the Unix time at which it or the window ends."""
         self.refill_index = refill_index
         self.checked_at = now
-        self.unchanged_until = next_edge - EDGE_MARGIN_SECONDS
+        self.unchanged_until = next_boundary - BOUNDARY_MARGIN_SECONDS
--- a/gateway/policy/lease_request.py
+++ b/gateway/policy/lease_request.py
@@ -21,23 +21,23 @@
     overflow_units: float = 0.0
     units_before_sync: float = 0.0
 
-    def start(self, requested_units: float, overflow_units: float) -> None:
+    def mark_sent(self, requested_units: float, overflow_units: float) -> None:
         """Begin a request for units."""
         self.in_flight = True
         self.requested_units = requested_units
         self.overflow_units = overflow_units
         self.units_before_sync = 0.0
 
-    def start_carry_over(self) -> None:
+    def mark_carry_over_sent(self) -> None:
         """Begin a call that requests no units, but adds what the first total in a window left to add."""
         self.in_flight = True
         self.units_before_sync = self.requested_units
         self.requested_units = 0.0
 
-    def correct_overflow(self, overflow_units: float) -> None:
+    def set_overflow(self, overflow_units: float) -> None:
         """Replace the overflow, as the first total in a window shows it."""
         self.overflow_units = overflow_units
 
-    def finish(self) -> None:
+    def mark_finished(self) -> None:
         """Record that the call has its reply, or gets none."""
         self.in_flight = False
--- a/gateway/policy/lease_sizing.py
+++ b/gateway/policy/lease_sizing.py
@@ -29,11 +29,11 @@
         """The units to request at once, not rounded."""
         return math.exp(self.log_batch_size)
 
-    def update(self, demand: float, used_fraction: float, max_batch_size: float) -> None:
+    def update(self, demand: float, quota_utilization: float, max_batch_size: float) -> None:
         """Take one step, given the units served in a refill time and the used fraction of the quota."""
         price = max(self.counter_price, MIN_CALL_PRICE)
-        used_fraction = min(1.0, max(0.0, used_fraction))
-        stranding_cost = max(MIN_STRANDING_COST * price, used_fraction**2)
+        quota_utilization = min(1.0, max(0.0, quota_utilization))
+        stranding_cost = max(MIN_STRANDING_COST * price, quota_utilization**2)
         batch_size = self.batch_size
         gradient = (stranding_cost * batch_size / 2 - price * demand / batch_size) / price
         self.squared_gradients += gradient * gradient
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -23,21 +23,21 @@
     """One lease for each customer and kind of quota.
 
     Attributes:
-        by_customer: All leases, the one used last at the end.
+        by_key: All leases, the one used last at the end.
         reclaimable: Those with credits or slots that may have to be returned to the counter.
     """
 
     def __init__(self, context: Context, calls: CounterCalls) -> None:
         self.context = context
         self.calls = calls
-        self.by_customer: dict[LeaseKey, Lease] = {}
+        self.by_key: dict[LeaseKey, Lease] = {}
         self.reclaimable: dict[LeaseKey, Lease] = {}
 
-    def use(self, request: Request, kind: QuotaKind) -> Lease:
+    def get_or_create(self, request: Request, kind: QuotaKind) -> Lease:
         """Return the lease for a request, in its current window."""
         key = LeaseKey(request.customer, kind)
-        lease = self.by_customer.pop(key, None) or self._create(request, kind)
-        self.by_customer[key] = lease
+        lease = self.by_key.pop(key, None) or self._create(request, kind)
+        self.by_key[key] = lease
         lease.record_request(self.context.now)
         return lease
 
@@ -50,13 +50,13 @@
     def spend(self, lease: Lease, ticket: AdmissionTicket, units: float) -> None:
         """Hand a request the credits that it needs."""
         lease.spend(units)
-        ticket.hold_credit(lease)
+        ticket.add_credits(lease)
         if lease.quota.is_reclaimable(lease.credits):
             self.reclaimable[lease.quota.key] = lease
 
     def release(self, ticket: AdmissionTicket) -> None:
         """Take back what a closed request holds: its slots, and rate credits if it was never sent."""
-        for lease in ticket.credits_held:
+        for lease in ticket.acquired_credits:
             lease.roll_window(self.context.now)
             lease.release(lease.quota.refundable_units(ticket.pending))
             if lease.quota.slots_per_request:
@@ -66,9 +66,9 @@
         """Drop a request's credit if it has expired with its refill time; return whether it had."""
         for lease in ticket.leases:
             lease.roll_window(self.context.now)
-            if lease.quota.has_credit_expired(ticket.credits_held[lease], lease.clock.refill_index):
+            if lease.quota.has_credit_expired(ticket.acquired_credits[lease], lease.clock.refill_index):
                 lease.release(0.0)
-                ticket.drop_credit(lease)
+                ticket.remove_credits(lease)
                 return True
         return False
 
@@ -82,7 +82,7 @@
                 self.calls.report_overdue_units(lease)
             if self._reclaim(lease) and not lease.usage.slots_in_use:
                 del self.reclaimable[key]
-        self._forget_unused_leases()
+        self._evict_unused_leases()
 
     def _reclaim(self, lease: Lease) -> bool:
         """Return idle credits if others may need them; return whether no credits are left to return."""
@@ -92,16 +92,16 @@
         if not lease.ledger.is_scarce(now):
             return True  # no other gateway misses the credits
         if self.calls.rate_limiter.has_headroom():
-            self.calls.return_units(lease, lease.take_credits())
+            self.calls.return_units(lease, lease.pop_credits())
         return lease.credits <= EPSILON
 
-    def _forget_unused_leases(self) -> None:
+    def _evict_unused_leases(self) -> None:
         now = self.context.now
-        while self.by_customer:
-            key, lease = next(iter(self.by_customer.items()))
+        while self.by_key:
+            key, lease = next(iter(self.by_key.items()))
             if now - lease.usage.last_used_at <= MAX_IDLE_SECONDS:
                 break
-            del self.by_customer[key]
+            del self.by_key[key]
             if lease.usage.slots_in_use:  # looked at again after the others
                 lease.usage.postpone_expiry(now)
-                self.by_customer[key] = lease
+                self.by_key[key] = lease
--- a/gateway/policy/lease_usage.py
+++ b/gateway/policy/lease_usage.py
@@ -26,7 +26,7 @@
         self.is_frequent = now - self.last_used_at < refill_time
         self.last_used_at = now
 
-    def record_credit(self, units: float) -> None:
+    def record_spend(self, units: float) -> None:
         """Count a credit that a request takes."""
         self.served_units += units
         self.slots_in_use += 1
@@ -35,7 +35,7 @@
         """Count a credit that a request no longer holds."""
         self.slots_in_use -= 1
 
-    def start_refill_time(self) -> None:
+    def reset_served_units(self) -> None:
         """Count the units of a new refill time."""
         self.served_units = 0.0
 
--- a/gateway/policy/local_admission.py
+++ b/gateway/policy/local_admission.py
@@ -11,7 +11,7 @@
     from gateway.policy.counter_rate_limiter import CounterRateLimiter
     from gateway.policy.lease import Lease
 
-MAX_UTILIZATION = 0.8  # of the endpoints, above which only what the counter granted is admitted
+MAX_ENDPOINT_UTILIZATION = 0.8  # of the endpoints, above which only what the counter granted is admitted
 
 
 class LocalAdmission:
@@ -24,17 +24,17 @@
         self.rate_limiter = rate_limiter
         self.limiter = limiter
 
-    def start(self, lease: Lease, plan_grant_ratio: float, *, is_retry: bool) -> None:
+    def initialize_tokens(self, lease: Lease, plan_grant_ratio: float, *, is_retry: bool) -> None:
         """Give a new lease a local token or none.
 
         It gets no more, as this may follow a restart.  Where gateways have less than a unit each, some admit
         one request: the more, the more often the plan's leases are granted.  A retry was just rejected.
         """
-        fraction = self.quota_fraction(lease, plan_grant_ratio)
+        fraction = self.local_quota_fraction(lease, plan_grant_ratio)
         is_admitted = self.context.random.random() < fraction * lease.quota.limit and not is_retry
         lease.local_tokens.reset(1.0 if is_admitted else 0.0, self.context.now)
 
-    def quota_fraction(self, lease: Lease, plan_grant_ratio: float = 0.0) -> float:
+    def local_quota_fraction(self, lease: Lease, plan_grant_ratio: float = 0.0) -> float:
         """Return the fraction of a quota to spend without the counter, from 1/gateways to 1.
 
         Under a ceiling it is 1/gateways.  Else it follows from the critical ratio of the cost of exceeding
@@ -49,7 +49,7 @@
         ratio = 1.0
         if not plan.ceiling_rate:
             grant_ratio = plan_grant_ratio
-            if lease.ledger.are_grants_current(self.context.now):
+            if lease.ledger.is_grant_ratio_current(self.context.now):
                 grant_ratio = lease.grants.ratio.value
             ratio = plan.over_quota_cost / (1 + plan.over_quota_cost)
             ratio *= 1 - grant_ratio
@@ -58,7 +58,7 @@
     def _refill(self, lease: Lease) -> float:
         """Return the local tokens of a lease."""
         quota = lease.quota
-        fraction = self.quota_fraction(lease)
+        fraction = self.local_quota_fraction(lease)
         rate = quota.accrual_rate(self.limiter.mean_latency)
         capacity = max(1.0, fraction * quota.burst)
         return lease.local_tokens.refill(self.context.now, rate, capacity, fraction)
@@ -73,12 +73,12 @@
 
         At high utilization they are used only while the counter is unavailable.
         """
-        if not self.rate_limiter.is_unavailable and self.limiter.utilization() > MAX_UTILIZATION:
+        if not self.rate_limiter.is_unavailable and self.limiter.utilization() > MAX_ENDPOINT_UTILIZATION:
             return False
         return self._refill(lease) + EPSILON >= units
 
-    def should_spare_call(self, lease: Lease, units: float) -> bool:
+    def should_skip_counter_call(self, lease: Lease, units: float) -> bool:
         """Return whether to spend local tokens, to leave scarce calls to leases that are less full."""
-        if not lease.ledger.is_half_full(self.context.now) or self.rate_limiter.has_headroom():
+        if not lease.ledger.is_half_available(self.context.now) or self.rate_limiter.has_headroom():
             return False
         return self.has_tokens(lease, units)
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -32,18 +32,18 @@
 
 
 @dataclass(slots=True)
-class Shortfall:
+class OverQuotaLease:
     """A requested lease that exceeds its quota.
 
     Attributes:
         requested_units: Units that were requested.
-        excess: Units by which the quota is exceeded.
+        excess_units: Units by which the quota is exceeded.
         credits: Credits that the lease held before.
         is_frequent: Whether the customer's last two requests came within a refill time.
     """
 
     requested_units: float
-    excess: float
+    excess_units: float
     credits: float
     is_frequent: bool
 
@@ -96,7 +96,7 @@
         """Return the number of the refill time at a Unix time."""
         return math.floor((now + self.phase) / self.refill_time)
 
-    def next_edge(self, window_index: int, refill_index: int) -> float:
+    def next_boundary(self, window_index: int, refill_index: int) -> float:
         """Return the Unix time, but for rounding, at which the window or the refill time ends first."""
         window_end = (window_index + 1) * self.window_length
         refill_end = (refill_index + 1) * self.refill_time
@@ -115,12 +115,12 @@
         """Return the units a second that become available, given the endpoints' mean latency in seconds."""
 
     @abstractmethod
-    def partial_grant(self, shortfall: Shortfall) -> Grant:
+    def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
         """Return the part of a lease to keep that exceeds the quota; the rest is returned."""
 
     @abstractmethod
-    def has_credit_expired(self, taken_in: int, refill_index: int) -> bool:
-        """Return whether a credit has expired that a request has held since the refill time `taken_in`."""
+    def has_credit_expired(self, acquired_in: int, refill_index: int) -> bool:
+        """Return whether a credit has expired that a request has held since the refill time `acquired_in`."""
 
     @abstractmethod
     def refundable_units(self, pending: PendingRequest) -> float:
@@ -150,21 +150,21 @@
         """Return the plan's rate."""
         return self.plan.rate
 
-    def partial_grant(self, shortfall: Shortfall) -> Grant:
+    def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
         """Keep whole units: a unit that is partly missing accrues soon, and waits here for the rest."""
-        requested = shortfall.requested_units
-        excess = shortfall.excess
-        held = max(0.0, requested - excess)
-        granted = min(requested, math.ceil(held - EPSILON))
-        fits_ahead = excess - (requested - 1) <= self.burst
-        if granted < 1 and shortfall.is_frequent and fits_ahead:
+        requested = over_quota.requested_units
+        excess_units = over_quota.excess_units
+        covered_units = max(0.0, requested - excess_units)
+        granted = min(requested, math.ceil(covered_units - EPSILON))
+        fits_ahead = excess_units - (requested - 1) <= self.burst
+        if granted < 1 and over_quota.is_frequent and fits_ahead:
             granted = 1.0  # leasing the next unit ahead saves a return and another request
-        accruing = max(0.0, excess - (requested - granted))
+        accruing = max(0.0, excess_units - (requested - granted))
         return Grant(granted, accruing)
 
-    def has_credit_expired(self, taken_in: int, refill_index: int) -> bool:
+    def has_credit_expired(self, acquired_in: int, refill_index: int) -> bool:
         """Return whether the refill time has ended in which the credit was taken."""
-        return taken_in != refill_index
+        return acquired_in != refill_index
 
     def refundable_units(self, pending: PendingRequest) -> float:
         """Return the request's units if it was never sent."""
@@ -194,13 +194,13 @@
         """Return the slots a second that become free when all are in use."""
         return self.limit / mean_latency
 
-    def partial_grant(self, shortfall: Shortfall) -> Grant:
+    def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
         """Keep whole slots, counted with those that the lease has."""
-        held = max(0.0, shortfall.requested_units - shortfall.excess)
-        slots = math.floor(held + shortfall.credits + EPSILON)
-        return Grant(slots - shortfall.credits)
+        covered_units = max(0.0, over_quota.requested_units - over_quota.excess_units)
+        slots = math.floor(covered_units + over_quota.credits + EPSILON)
+        return Grant(slots - over_quota.credits)
 
-    def has_credit_expired(self, _taken_in: int, _refill_index: int) -> bool:
+    def has_credit_expired(self, _acquired_in: int, _refill_index: int) -> bool:
         """Return False: a slot is held until its request ends."""
         return False
 
--- a/gateway/policy/quota_factory.py
+++ b/gateway/policy/quota_factory.py
@@ -18,7 +18,7 @@
 WINDOW_SECONDS = 20.0  # window of a rate quota: near its edge, gateways see each other's leases late
 
 
-def limited_kinds(plan: Plan) -> list[QuotaKind]:
+def quota_kinds(plan: Plan) -> list[QuotaKind]:
     """Return the kinds of quota that a plan has."""
     kinds = []
     if plan.rate > 0:
@@ -38,17 +38,17 @@
         limit = float(plan.max_concurrency)
         length = 2 * max(request_class.deadline for request_class in settings.classes)
         return ConcurrencyQuota(key, plan, set_size, limit, limit, length, length, phase_fraction * length)
-    limit = largest_rate_lease(plan)
+    limit = max_lease_units(plan)
     phase = phase_fraction * WINDOW_SECONDS
     return RateQuota(key, plan, set_size, limit, plan.burst, WINDOW_SECONDS, limit / plan.rate, phase)
 
 
-def largest_rate_lease(plan: Plan) -> float:
+def max_lease_units(plan: Plan) -> float:
     """Return a burst in whole units; under a ceiling, what fits twice, and twice more as the local quota."""
-    largest = plan.burst
+    max_units = plan.burst
     if plan.ceiling_rate:
-        largest = min(plan.burst, plan.ceiling_burst / 4)
-    return max(1.0, math.floor(largest))
+        max_units = min(plan.burst, plan.ceiling_burst / 4)
+    return max(1.0, math.floor(max_units))
 
 
 def make_ledger(quota: Quota) -> CounterLedger:
--- a/gateway/policy/rate_ledger.py
+++ b/gateway/policy/rate_ledger.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from gateway.policy.context import EPSILON
-from gateway.policy.counter_ledger import Batch, CounterLedger, CounterTotal, Denial
+from gateway.policy.counter_ledger import CounterLedger, Denial, LeaseBatch, TotalUpdate
 
 if TYPE_CHECKING:
     from gateway.policy.lease_request import LeaseRequest
@@ -31,8 +31,8 @@
         """Return the units that the quota holds; below 0 for units leased ahead."""
         quota = self.quota
         elapsed = now + quota.phase - self.window_index * quota.window_length
-        filled = elapsed * quota.plan.rate
-        return quota.burst + filled - self.counter_total - self.unreported_units
+        accrued = elapsed * quota.plan.rate
+        return quota.burst + accrued - self.estimated_total - self.unreported_units
 
     def available(self, now: float) -> float:
         """Return the units that can be leased now."""
@@ -41,13 +41,13 @@
     def open_window(self, window_index: int, credits_left: float, _slots_in_use: int) -> None:
         """Carry over what the quota lacks: a burst, and one that was leased ahead at most."""
         quota = self.quota
-        filled = (window_index - self.window_index) * quota.window_length * quota.plan.rate
-        lacking = self.counter_total + self.unreported_units - credits_left - filled
-        self.carried_deficit = min(max(0.0, lacking), 2 * quota.burst)
+        accrued = (window_index - self.window_index) * quota.window_length * quota.plan.rate
+        deficit = self.estimated_total + self.unreported_units - credits_left - accrued
+        self.carried_deficit = min(max(0.0, deficit), 2 * quota.burst)
         self.expired_credits = credits_left
         self._start_window(window_index, self.carried_deficit)
 
-    def record_no_reply(self, request: LeaseRequest) -> None:
+    def record_lost_reply(self, request: LeaseRequest) -> None:
         """Take the requested units off again, as they come too late to be spent."""
         self.unreported_units -= request.requested_units
         if self.synchronized:  # else the carried deficit was not part of the call
@@ -57,20 +57,20 @@
         self.carried_deficit = 0.0
         self.expired_credits = 0.0
 
-    def _units_to_restore(self, reply: CounterTotal) -> float:
+    def _units_to_restore(self, reply: TotalUpdate) -> float:
         """Return the units of all gateways that the counter lost, as far as this one has seen them."""
-        return self.counter_total - reply.later_units - reply.total
+        return self.estimated_total - reply.in_flight_units - reply.total
 
-    def _settle_carry_over(self, reply: CounterTotal) -> None:
+    def _deduplicate_carry_over(self, reply: TotalUpdate) -> None:
         """Leave out the deficit, and what expired here unspent, if another gateway has added it."""
-        was_added_before = reply.total > reply.amount + EPSILON
-        if was_added_before:
+        others_added_before = reply.total > reply.amount + EPSILON
+        if others_added_before:
             self.unreported_units -= self.carried_deficit + self.expired_credits
         else:
             self.confirmed_units -= self.carried_deficit  # others may take their part of it off again
         self._clear_carry_over()
 
-    def correct(self, request: LeaseRequest, reply: CounterTotal) -> float:
+    def correct_total(self, request: LeaseRequest, reply: TotalUpdate) -> float:
         """Return the units to add so that overflow counts once, and levels stay within what can be leased."""
         now = reply.received_at
         burst = self.quota.burst
@@ -79,16 +79,16 @@
         if level < -burst - 2 * self.quota.gateway_set_size:
             # Added in error by a gateway that died since, or admitted locally for long.
             self.unreported_units += level
-        if reply.is_first:  # the carry-over has the overflow, which is known only now
-            request.correct_overflow(max(0.0, self.level(now) + requested - burst))
+        if reply.is_first_in_window:  # the carry-over has the overflow, which is known only now
+            request.set_overflow(max(0.0, self.level(now) + requested - burst))
             return 0.0
-        mistaken = request.overflow_units - max(0.0, level - burst)  # or added by others before
-        if not requested and mistaken < request.overflow_units / 2:
+        duplicate_overflow = request.overflow_units - max(0.0, level - burst)  # or added by others before
+        if not requested and duplicate_overflow < request.overflow_units / 2:
             return 0.0  # nobody else added it at the same time: the rest was leased
-        self.unreported_units -= mistaken
+        self.unreported_units -= duplicate_overflow
         return self.unreported_units
 
-    def may_add_unreported(self) -> bool:
+    def may_report_units(self) -> bool:
         """Return whether the counter has replied: only then it is known what others have added."""
         return self.synchronized
 
@@ -96,19 +96,19 @@
         """Return 0: a correction waits for the next request."""
         return 0.0
 
-    def next_batch(self, preferred_units: float, now: float) -> Batch:
+    def next_batch(self, batch_size: float, now: float) -> LeaseBatch:
         """Return whole units, as a fraction would serve nobody and expire; no more than are available."""
-        units = float(round(min(preferred_units, self.available(now))))
+        units = float(round(min(batch_size, self.available(now))))
         overflow = 0.0
         if self.synchronized:
             overflow = max(0.0, self.level(now) - self.quota.burst)
-        return Batch(units, overflow)
+        return LeaseBatch(units, overflow)
 
-    def excess(self, now: float) -> float:
+    def excess_units(self, now: float) -> float:
         """Return the units that the quota lacks."""
         return -self.level(now)
 
-    def used_fraction(self, now: float) -> float:
+    def quota_utilization(self, now: float) -> float:
         """Return the fraction of a burst that is missing."""
         return 1 - self.available(now) / self.quota.burst
 
@@ -116,7 +116,7 @@
         """Return whether less than half a burst is available."""
         return self.available(now) < self.quota.burst / 2
 
-    def is_half_full(self, now: float) -> bool:
+    def is_half_available(self, now: float) -> bool:
         """Return whether half a burst was available less than the time ago in which a burst accrues."""
         burst = self.quota.burst
         if not self.synchronized:
@@ -124,9 +124,9 @@
         is_recent = now - self.synchronized_at < burst / max(EPSILON, self.quota.plan.rate)
         return is_recent and self.available(now) >= burst / 2
 
-    def are_grants_current(self, now: float) -> bool:
+    def is_grant_ratio_current(self, now: float) -> bool:
         """Return whether the quota was lately half full."""
-        return self.is_half_full(now)
+        return self.is_half_available(now)
 
     def denial(self, needed_units: float, credits_left: float, spendable: float, now: float) -> Denial:
         """Return the time in which the missing units accrue, contended if no credit is left here."""
--- a/gateway/policy/token_bucket.py
+++ b/gateway/policy/token_bucket.py
@@ -33,9 +33,9 @@
         self.updated_at = now
         return self.tokens
 
-    def consume(self, tokens: float, lowest: float = -math.inf) -> None:
-        """Take tokens out of the bucket, which may overdraw it down to the lowest number."""
-        self.tokens = max(self.tokens - tokens, lowest)
+    def consume(self, tokens: float, min_tokens: float = -math.inf) -> None:
+        """Take tokens out of the bucket, which may overdraw it down to `min_tokens`."""
+        self.tokens = max(self.tokens - tokens, min_tokens)
 
     def reset(self, tokens: float, now: float) -> None:
         """Begin again with a number of tokens."""
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -56,16 +56,16 @@
     policy: Policy, counter: FakeCounter
 ) -> None:
     limiter = policy.counter_rate_limiter
-    limiter.calls.reset(0.0, START)
+    limiter.call_tokens.reset(0.0, START)
     limiter.rate = 1.0
     assert not run_event(policy, counter, START, make_request(1))[0:0]
     assert not counter.calls
     assert not started_attempts(run_event(policy, counter, START, TimerFired(1)))
-    limiter.calls.tokens = 5.0
+    limiter.call_tokens.tokens = 5.0
     now = START + TICK_SECONDS
     assert started_attempts(run_event(policy, counter, now, TimerFired(1)))
     assert counter.calls
-    limiter.calls.reset(0.0, now)
+    limiter.call_tokens.reset(0.0, now)
     limiter.rate = 0.1
     later = [*run_event(policy, counter, now, make_request(2, customer=6))]
     patience = MAX_WAIT_FRACTION * policy.settings.classes[0].latency_objective
@@ -90,7 +90,7 @@
         policy.concurrency_limiter.concurrency_limit = 1e-9
         return run_event(policy, counter, now, make_request(2))
     if waits_for == "call":
-        policy.counter_rate_limiter.calls.tokens = -1e6
+        policy.counter_rate_limiter.call_tokens.tokens = -1e6
     return policy.handle(now, make_request(2))
 
 
@@ -108,8 +108,8 @@
     assert bool(unanswered_calls) == (waits_for == "lease")
     policy.handle(START + 0.15, ClientDisconnected(2))
     assert 2 not in policy.pending
-    assert not policy.leases.by_customer[LeaseKey(5, QuotaKind.RATE)].waiters
-    policy.counter_rate_limiter.calls.tokens = 100.0
+    assert not policy.leases.by_key[LeaseKey(5, QuotaKind.RATE)].waiters
+    policy.counter_rate_limiter.call_tokens.tokens = 100.0
     policy.concurrency_limiter.concurrency_limit = 10.0
     now = START + 0.2
     later = [action for call in unanswered_calls for action in policy.handle(now, counter.answer(call))]
--- a/tests/policy/test_counter_ledger.py
+++ b/tests/policy/test_counter_ledger.py
@@ -98,7 +98,7 @@
         actions = policy.handle(now, make_request(request_id))
         for action in actions:
             if isinstance(action, AddToCounter):
-                self.late = self.calls + 1 in self.late_calls
+                self.drops_replies = self.calls + 1 in self.late_calls
                 actions += policy.handle(now, self.answer(action))
             elif isinstance(action, StartAttempt):
                 actions += policy.handle(now, make_finished(request_id, action, Outcome.OK, closed=True))
@@ -138,6 +138,6 @@
     policy: Policy, counter: FakeCounter
 ) -> None:
     before = serve_many(policy, counter, START, range(3))
-    counter.lose()
+    counter.lose_totals()
     more = serve_many(policy, counter, START + 0.01, range(10, 30))
     assert before + more <= 9.5
--- a/tests/policy/test_lease_table.py
+++ b/tests/policy/test_lease_table.py
@@ -24,7 +24,7 @@
     serve(policy, counter, START, 1)
     policy.context.now = START + MAX_IDLE_SECONDS + 1
     policy.leases.reclaim_idle_credits()
-    assert not policy.leases.by_customer
+    assert not policy.leases.by_key
 
 
 # The table must not grow by customers that come once, nor lose a lease that is in use.
@@ -37,7 +37,7 @@
     for _ in range(3):
         run_event(policy, counter, START + 60, TimerFired(1))
         policy.reclaim_at = 0.0
-    assert {key.customer for key in policy.leases.by_customer} == {1, *range(30, 40)}
+    assert {key.customer for key in policy.leases.by_key} == {1, *range(30, 40)}
     policy.handle(START + 61, make_finished(1, held, Outcome.OK, closed=True))
     policy.handle(START + 200, TimerFired(1))
-    assert not policy.leases.by_customer
+    assert not policy.leases.by_key
--- a/tests/policy/test_local_admission.py
+++ b/tests/policy/test_local_admission.py
@@ -8,7 +8,7 @@
 from tests.support.policy import (
     START,
     FakeCounter,
-    SpentCounter,
+    PreloadedCounter,
     make_finished,
     make_policy,
     make_request,
@@ -31,8 +31,8 @@
 def admitted_unknown_customers(units_by_others: float) -> int:
     """Return how many of 300 new customers are admitted once the counter fails, after leases of others."""
     policy = make_policy(peers_total="100", caps__probes="false")
-    counter = SpentCounter()
-    counter.by_others = units_by_others
+    counter = PreloadedCounter()
+    counter.initial_total = units_by_others
     for customer in range(1000, 1040):
         serve(policy, counter, START + customer - 1000, customer, customer=customer, gateway_set_size=100)
     policy.counter_rate_limiter.failure_ratio.value = 1.0  # the counter is unavailable from here on
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -53,7 +53,7 @@
         for request_id, (gap, index) in enumerate(arrivals):
             now += gap
             gateway = gateways[index % count]
-            for lease in gateway.leases.by_customer.values():
+            for lease in gateway.leases.by_key.values():
                 lease.sizer.log_batch_size = sizes[index]
             if serve(gateway, counter, now, request_id):
                 reference.take(now)
@@ -127,7 +127,7 @@
     ceiling = ReferenceQuota(rate=8.0, burst=16.0)
     for request_id, (gap, index) in enumerate(arrivals):
         if request_id == lost_at:
-            counter.lose()
+            counter.lose_totals()
         counter.outcome = Outcome.TIMEOUT if lost_at / 2 <= request_id < lost_at else Outcome.OK
         now += gap
         if serve(gateways[index], counter, now, request_id, plan=1):
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -27,7 +27,7 @@
     bucket = TokenBucket(tokens=1.0, updated_at=10.0)
     bucket.consume(3.0)
     assert bucket.tokens == -2.0
-    bucket.consume(3.0, lowest=-4.0)
+    bucket.consume(3.0, min_tokens=-4.0)
     assert bucket.tokens == -4.0
 
 
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -129,9 +129,9 @@
         self.totals: dict[int, float] = {}
         self.calls = 0
         self.outcome = Outcome.OK
-        self.late = False
+        self.drops_replies = False
 
-    def lose(self) -> None:
+    def lose_totals(self) -> None:
         self.totals.clear()
 
     def answer(self, call: AddToCounter) -> CounterReply:
@@ -139,7 +139,7 @@
         if self.outcome is not Outcome.OK:
             return CounterReply(call.name, self.outcome, 0.0, 0.05)
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-        if self.late:
+        if self.drops_replies:
             return CounterReply(call.name, Outcome.TIMEOUT, 0.0, 0.05)
         return CounterReply(call.name, Outcome.OK, self.totals[call.name], 0.001)
 
@@ -191,7 +191,7 @@
 
 def only_lease(policy: Policy) -> Lease:
     """Return the lease of a gateway that has one."""
-    (lease,) = policy.leases.by_customer.values()
+    (lease,) = policy.leases.by_key.values()
     return lease
 
 
@@ -221,11 +221,11 @@
         self.level -= 1.0
 
 
-class SpentCounter(FakeCounter):
+class PreloadedCounter(FakeCounter):
     """A counter to whose totals others have added that much before."""
 
-    by_others = 0.0
+    initial_total = 0.0
 
     def answer(self, call: AddToCounter) -> CounterReply:
-        self.totals.setdefault(call.name, self.by_others)
+        self.totals.setdefault(call.name, self.initial_total)
         return super().answer(call)
