--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is admitted, waits for a lease, or is rejected: by a denied lease or the local quota."""
+"""Admission of requests: a request is admitted, waits for a lease, or is rejected."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     from gateway.policy.pending_request import PendingRequest
     from gateway.policy.quota import LeaseKey, QuotaKind
 
-MAX_WAIT_FRACTION = 0.25  # of its latency objective that a request waits until a call may be made
+MAX_WAIT_FRACTION = 0.25  # of the latency objective: longest wait of a request for a counter call
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionCallbacks:
-    """What is done with a request once admission has decided.
+    """What the engine does with a request once admission has decided.
 
     Attributes:
-        dispatch: Sends an admitted request.
+        dispatch: Sends an admitted request to an endpoint, or queues it.
         reject: Answers a request with a rejection; its argument is the Retry-After in seconds.
     """
 
@@ -37,15 +37,16 @@
 
 
 class Admission:
-    """Takes a credit of each of a request's leases before it is dispatched.
+    """Admits a request once it has acquired credits from the lease of each quota of its plan.
 
-    The engine calls `register` and `admit` for a new request, `stop_waiting` if its client disconnects, and
-    `release` at its end; it hands over the counter's replies, and calls `retry_deferred_leases` at each tick.
+    The engine calls `register` and `admit` for a new request, `stop_waiting` if its client disconnects,
+    `release` when it has ended, `handle_counter_reply` for each reply of the counter and
+    `retry_deferred_leases` at each tick.
 
     Attributes:
-        quota_kinds_by_plan: The kinds of quota of each plan, in the order of the settings.
-        tickets: What pending requests need and hold, by request id.
-        deferred_leases: Leases that have waiters, but for which no call may be made yet.
+        quota_kinds_by_plan: The kinds of quota that each plan has, by plan index.
+        tickets: The admission state of pending requests, by request id.
+        deferred_leases: Leases that have waiters, and for which no counter call may be made yet.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.deferred_leases: dict[LeaseKey, Lease] = {}
 
     def lease_for(self, request: Request, kind: QuotaKind) -> Lease:
-        """Return the lease that a request needs a credit of."""
+        """Return the lease of one of the quotas that apply to a request, in its current window."""
         lease = self.leases.get_or_create(request, kind)
         if not lease.local_tokens.updated_at:
             grant_ratio = self.calls.grant_ratio(lease.quota.plan)
@@ -76,25 +77,25 @@
         return lease
 
     def register(self, pending: PendingRequest) -> None:
-        """Find the leases that a new request needs a credit of."""
+        """Record a new request and the leases that it needs credits of."""
         request = pending.request
         leases = [self.lease_for(request, kind) for kind in self.quota_kinds_by_plan[request.plan_index]]
         self.tickets[request.request_id] = AdmissionTicket(pending, leases)
 
     def admit(self, pending: PendingRequest) -> None:
-        """Dispatch a request that gets its credits; else it waits or is rejected."""
+        """Dispatch a request if its credits are available; otherwise let it wait, or reject it."""
         self._admit(self.tickets[pending.request.request_id])
 
     def release(self, pending: PendingRequest) -> None:
-        """Take back what a request holds that is closed and has no attempt in flight."""
+        """Release the credits of a request that is closed and has no attempt in flight."""
         self.leases.release(self.tickets.pop(pending.request.request_id))
 
     def drop_expired_credit(self, pending: PendingRequest) -> bool:
-        """Drop a request's rate credit if it has expired; return whether it had."""
+        """Drop a request's rate credits if they have expired; return whether they had."""
         return self.leases.drop_expired_credit(self.tickets[pending.request.request_id])
 
     def stop_waiting(self, pending: PendingRequest) -> None:
-        """Request nothing more for a request whose client has disconnected."""
+        """Remove a request whose client has disconnected from the waiters of all leases."""
         for lease in self.tickets[pending.request.request_id].leases:
             lease.remove_waiter(pending)
 
@@ -105,7 +106,7 @@
         self.dispatch(ticket.pending)
 
     def _acquire_credits(self, lease: Lease, ticket: AdmissionTicket) -> bool:
-        """Return whether a request gets its credit at once; else it waits or is rejected."""
+        """Acquire credits of one lease; return False if the request waits or was rejected."""
         pending = ticket.pending
         now = self.context.now
         units = lease.quota.units_of(pending)
@@ -128,7 +129,7 @@
         self.leases.spend(lease, ticket, units)
 
     def _acquire_local_credits(self, lease: Lease, ticket: AdmissionTicket, units: float) -> bool:
-        """Spend of the local quota, to be added when the counter is available, or reject."""
+        """Acquire credits by the local quota, reported to the counter later, or reject the request."""
         if not self.local_admission.has_tokens(lease, units):
             self.reject(ticket.pending, self.context.settings.limits.max_retry_after / 2)
             return False
@@ -145,7 +146,7 @@
                 self._admit(ticket)
 
     def may_wait_for_lease(self, pending: PendingRequest) -> bool:
-        """Return whether a request may still wait for a call, as local admission may exceed the quota."""
+        """Return whether a request should still wait for a call, as local admission may exceed the quota."""
         longest = MAX_WAIT_FRACTION * pending.request_class.latency_objective
         waiting_helps = self.rate_limiter.enabled and not self.rate_limiter.is_unavailable
         return waiting_helps and self.context.now - pending.arrived_at < longest
@@ -158,7 +159,7 @@
             self.deferred_leases[lease.quota.key] = lease
 
     def retry_deferred_leases(self) -> None:
-        """Request deferred leases, least denied first; admit locally what has waited too long."""
+        """Request deferred leases, fewest denials first; admit overdue waiters by the local quota."""
         by_denials = sorted(self.deferred_leases.items(), key=lambda item: item[1].grants.consecutive_denials)
         for key, lease in by_denials:
             overdue = [pending for pending in lease.waiters if not self.may_wait_for_lease(pending)]
@@ -171,7 +172,7 @@
                 self._request_or_defer(lease)
 
     def handle_counter_reply(self, event: CounterReply) -> None:
-        """Serve, defer or admit locally those who wait for the lease that a reply is about."""
+        """Apply a reply of the counter to the waiters of its lease."""
         reply = self.calls.handle_reply(event)
         if reply is None:
             return
@@ -194,7 +195,7 @@
             self.calls.request_lease(lease)
 
     def _defer_after_rejection(self, lease: Lease) -> None:
-        """Request a lease again when the counter may be less loaded, after a random delay."""
+        """Retry a rejected lease request after a random delay, when the counter may be less loaded."""
         delay = self.context.settings.counter_timeout * (0.5 + self.context.random.random())
         lease.grants.postpone_call(self.context.now + delay)
         self.deferred_leases[lease.quota.key] = lease
@@ -219,7 +220,7 @@
             self._admit(ticket)
 
     def _reject_waiters(self, lease: Lease) -> None:
-        """Reject requests until the quota holds what the next one needs."""
+        """Reject all waiters, and further requests until the quota has the units that the next one needs."""
         now = self.context.now
         denial = lease.denial(now)
         delay = denial.delay
@@ -231,7 +232,10 @@
             self.reject(pending, lease.grants.denied_until - now)
 
     def _denial_backoff(self, lease: Lease) -> float:
-        """Return a random factor that grows until about one gateway requests each unit that accrues."""
+        """Return a random factor on the delay that grows with consecutive denials.
+
+        It grows until about one gateway requests each unit that accrues.
+        """
         grants = lease.grants
         grants.record_denial(limit=lease.quota.gateway_set_size.bit_length())
         factor = float(2 ** (grants.consecutive_denials - 1))
--- a/gateway/policy/admission_ticket.py
+++ b/gateway/policy/admission_ticket.py
@@ -1,4 +1,4 @@
-"""What a request needs, and holds, of its customer's leases."""
+"""The admission state of one request: the leases that it needs credits of, and those it has."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True, eq=False)
 class AdmissionTicket:
-    """The leases that a request needs a credit of, and those whose credit it holds.
+    """The leases that a request needs credits of, and the credits that it has acquired.
 
     Attributes:
         pending: The request.
         leases: One lease for each quota of its customer's plan.
-        acquired_credits: The leases whose credit it holds, each with the refill time in which it was taken.
+        acquired_credits: The leases whose credits it holds, each with the refill index at which it got them.
     """
 
     pending: PendingRequest
@@ -25,9 +25,9 @@
     acquired_credits: dict[Lease, int] = field(default_factory=dict)
 
     def add_credits(self, lease: Lease) -> None:
-        """Record that the request has taken a credit of a lease in its present refill time."""
+        """Record that the request has acquired credits of a lease in its current refill time."""
         self.acquired_credits[lease] = lease.clock.refill_index
 
     def remove_credits(self, lease: Lease) -> None:
-        """Record that the request no longer holds its credit of a lease."""
+        """Record that the request no longer holds credits of a lease."""
         del self.acquired_credits[lease]
--- a/gateway/policy/concurrency_ledger.py
+++ b/gateway/policy/concurrency_ledger.py
@@ -1,4 +1,4 @@
-"""The account of a concurrency quota with the counter: the slots that are in use."""
+"""The counter ledger of a concurrency quota, whose total is the number of slots in use."""
 
 from __future__ import annotations
 
@@ -11,37 +11,40 @@
 if TYPE_CHECKING:
     from gateway.policy.lease_request import LeaseRequest
 
-DENIAL_SECONDS = 2 * TICK_SECONDS  # slots may become free at any time
+DENIAL_SECONDS = 2 * TICK_SECONDS  # short, as any request that ends frees a slot
 
 
 @dataclass(slots=True)
 class ConcurrencyLedger(CounterLedger):
-    """A quota whose total is the number of slots in use; each gateway adds and takes off its own."""
+    """The ledger of a quota of slots, one for each request in progress.
+
+    Each gateway adds a slot to the total when it admits a request, and subtracts it when the request ends.
+    """
 
     def open_window(self, window_index: int, _credits_left: float, slots_in_use: int) -> None:
-        """Add the slots of requests that are still in progress."""
+        """Carry the slots of requests in progress over into the new window's total."""
         self._start_window(window_index, float(slots_in_use))
 
     def record_lost_reply(self, _request: LeaseRequest) -> None:
-        """Leave the slots in the total until the window ends."""
+        """Do nothing: the slots stay in the total until the window ends."""
 
-    def _units_to_restore(self, reply: TotalUpdate) -> float:
-        """Return this gateway's own slots that the counter lost."""
-        return self.confirmed_units - reply.total
+    def _units_to_restore(self, update: TotalUpdate) -> float:
+        """Return the slots of this gateway that the counter lost; other gateways restore their own."""
+        return self.confirmed_units - update.total
 
-    def _deduplicate_carry_over(self, _reply: TotalUpdate) -> None:
-        """Leave the total: nothing is carried over but this gateway's own slots."""
+    def _deduplicate_carry_over(self, _update: TotalUpdate) -> None:
+        """Do nothing: each gateway carries over only its own slots."""
 
-    def correct_total(self, _request: LeaseRequest, _reply: TotalUpdate) -> float:
-        """Return 0: only this gateway knows its slots."""
+    def correct_total(self, _request: LeaseRequest, _update: TotalUpdate) -> float:
+        """Return 0: each gateway adds only its own slots, so none are counted twice."""
         return 0.0
 
     def may_report_units(self) -> bool:
-        """Return True: nobody else adds this gateway's slots."""
+        """Return True: no other gateway adds this gateway's slots."""
         return True
 
     def overdue_units(self) -> float:
-        """Return the slots that were taken locally."""
+        """Return the slots in use that the total does not have yet, such as those admitted locally."""
         return max(0.0, self.unreported_units)
 
     def next_batch(self, _batch_size: float, _now: float) -> LeaseBatch:
@@ -49,25 +52,25 @@
         return LeaseBatch(1.0)
 
     def excess_units(self, _now: float) -> float:
-        """Return the slots in use beyond the limit."""
+        """Return the slots in use beyond the limit; below 0, the free slots."""
         return self.estimated_total - self.quota.limit
 
     def quota_utilization(self, _now: float) -> float:
-        """Return the fraction of the slots that is in use."""
+        """Return the fraction of the slots that are in use."""
         return self.estimated_total / self.quota.limit
 
     def is_scarce(self, _now: float) -> bool:
-        """Return False: no slot is kept unused."""
+        """Return False: a lease keeps no unused slots."""
         return False
 
     def is_half_available(self, _now: float) -> bool:
-        """Return False: how many slots are free may change at once."""
+        """Return False: the number of free slots may change at any time."""
         return False
 
     def is_grant_ratio_current(self, _now: float) -> bool:
-        """Return True: a grant shows the slots at that time, and does not depend on a level."""
+        """Return True: grants of slots do not depend on a level that refills over time."""
         return True
 
     def denial(self, _needed_units: float, _credits_left: float, _spendable: float, _now: float) -> Denial:
-        """Return a constant time."""
+        """Return a constant delay."""
         return Denial(DENIAL_SECONDS)
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -1,4 +1,4 @@
-"""The calls to the counter that are in flight, and what each reply means for a lease."""
+"""Counter calls: requests for leases, returns and corrections, and how replies change leases."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     from gateway.policy.lease import Lease
     from gateway.policy.settings import Plan
 
-MIN_CORRECTION = 0.02  # units; a total that is wrong by less is corrected by the next request
-EXPIRY_SECONDS = 60.0  # after which the counter forgets a window's total
-INITIAL_GRANT_RATIO = 0.5  # of a plan's leases, before the first reply
+MIN_CORRECTION = 0.02  # units; smaller errors of a total wait for the next lease request
+EXPIRY_SECONDS = 60.0  # at the latest, the counter deletes a window's total after this time
+INITIAL_GRANT_RATIO = 0.5  # of each plan, until its leases have replies
 
 
 class LeaseResult(Enum):
-    """What a reply means for the lease that was requested."""
+    """The result of a lease request."""
 
-    EXPIRED = auto()  # the call's window has ended
-    GRANTED = auto()  # in full
-    DENIED = auto()  # at least in part
-    REPORTED = auto()  # the call only added units, and requested none
-    REJECTED = auto()  # the counter is overloaded and surely added nothing
-    NO_REPLY = auto()  # the counter may have added the units
+    EXPIRED = auto()  # the window of the call has ended
+    GRANTED = auto()  # all requested units were granted
+    DENIED = auto()  # some or all of the requested units were denied
+    REPORTED = auto()  # the call reported a carry-over and requested no units
+    REJECTED = auto()  # the counter or the connection failed the call before it added anything
+    NO_REPLY = auto()  # the call failed, but the counter may have added the units
 
 
 @dataclass(slots=True)
 class LeaseReply:
-    """A reply to a call that requested a lease.
+    """The reply to a lease request.
 
     Attributes:
         lease: The lease.
-        result: What the reply means for it.
-        is_first_in_window: Whether what others have added in this window was not known before.
+        result: The result of the request.
+        is_first_in_window: Whether a rate quota had no total of the current window before it.
     """
 
     lease: Lease
@@ -52,13 +52,14 @@
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call in flight that adds to the total of a lease's window.
+    """A counter call in flight, which adds an amount to a window's total.
 
     Attributes:
-        lease: The lease.
-        window_index: Number of the window.
-        amount: Units that the call adds; below 0 for a return.
-        is_adjustment: Whether the call returns or corrects units, and is no request for a lease.
+        lease: The lease that the call is made for.
+        window_index: Index of the window.
+        amount: Units that the call adds; below 0 if it subtracts units.
+        is_adjustment: Whether the call only returns or corrects units.  Other calls are lease requests, of
+            which each lease has at most one in flight.
     """
 
     lease: Lease
@@ -68,14 +69,14 @@
 
 
 class CounterCalls:
-    """Requests, reports and returns units by calls to the counter.
+    """Makes the counter calls of all leases, and applies the replies to them.
 
-    Replies to the calls of one name come in their order.  `Admission` requests leases and acts on replies;
-    `LeaseTable` returns what is no longer needed.
+    Replies to calls of the same name arrive in the order of the calls.  `Admission` requests leases and acts
+    on the replies; `LeaseTable` returns slots and idle credits.
 
     Attributes:
-        calls_in_flight: The calls in flight by the counter's name, oldest first.
-        plan_grant_ratios: Average of the requests that were granted in full, by the plan's name.
+        calls_in_flight: The calls in flight, oldest first, by the name of the total at the counter.
+        plan_grant_ratios: Moving average of the fraction of lease requests granted in full, by plan name.
     """
 
     def __init__(self, context: Context, rate_limiter: CounterRateLimiter) -> None:
@@ -87,11 +88,11 @@
         }
 
     def grant_ratio(self, plan: Plan) -> float:
-        """Return the part of a plan's requests for units that were granted in full, from 0 to 1."""
+        """Return the fraction of a plan's lease requests that were granted in full, from 0 to 1."""
         return self.plan_grant_ratios[plan.name].value
 
     def request_lease(self, lease: Lease) -> None:
-        """Request a batch, unless a request is in flight, for which further waiters wait too."""
+        """Request a batch of units; if a request is in flight already, all waiters wait for its reply."""
         if lease.request.in_flight:
             return
         ledger = lease.ledger
@@ -99,15 +100,17 @@
         batch = ledger.next_batch(lease.sizer.batch_size, self.context.now)
         amount = max(needed, 1.0, batch.units)
         lease.request.mark_sent(amount, batch.overflow_units)
-        # What others have added in this window is known with the first reply: see `report_carry_over`.
+        # Before the first total in a window, it is unknown whether others have added the carry-over and the
+        # overflow already; `report_carry_over` adds them after that.
         if ledger.may_report_units():
             amount = amount + ledger.pop_unreported_units() + batch.overflow_units
         self._add(lease, amount, is_adjustment=False)
 
     def report_carry_over(self, lease: Lease) -> None:
-        """Add what the quota lacked at the window's edge and its overflow since, if nobody has."""
+        """Add the deficit carried over into the window, and the overflow since, if no other gateway has."""
         units = lease.ledger.unreported_units + lease.request.overflow_units
-        # A unit or more cannot wait for calls to spare: each gateway that requests it would be granted it.
+        # A unit or more is reported even above the call rate: until then, each gateway that requests the
+        # unit is granted it.
         is_urgent = abs(units) >= 1
         if is_urgent or (abs(units) >= MIN_CORRECTION and self.rate_limiter.may_call()):
             lease.ledger.pop_unreported_units()
@@ -115,19 +118,19 @@
             self._add(lease, units, is_adjustment=False)
 
     def return_units(self, lease: Lease, units: float) -> None:
-        """Take units off the total."""
+        """Subtract units from the total."""
         if units > EPSILON:
             self._add(lease, -units, is_adjustment=True)
 
     def return_slots(self, lease: Lease, slots: float) -> None:
-        """Take the slots of an ended request off the total, or off what is still to be added to it."""
+        """Subtract the slots of an ended request from the total, or from the unreported units."""
         if not self.rate_limiter.may_call() or lease.ledger.unreported_units > 0:
             lease.ledger.defer_report(-slots)
         else:
             self.return_units(lease, slots)
 
     def report_overdue_units(self, lease: Lease) -> None:
-        """Add unreported units that should not wait for the next request."""
+        """Add the unreported units now, without waiting for the next lease request."""
         self._add(lease, lease.ledger.pop_unreported_units(), is_adjustment=True)
 
     def _add(self, lease: Lease, amount: float, *, is_adjustment: bool) -> None:
@@ -141,7 +144,7 @@
         self.rate_limiter.record_call()
 
     def handle_reply(self, reply: CounterReply) -> LeaseReply | None:
-        """Account for the oldest call of that name; return what the reply means if it requested a lease."""
+        """Apply a reply to the oldest call of its name; return the result if it was a lease request."""
         call = self._pop_oldest_call(reply.name)
         if call is None:
             return None
@@ -174,7 +177,7 @@
         return call
 
     def _apply_outcome(self, lease: Lease, outcome: Outcome) -> LeaseResult:
-        """Return what a reply in the lease's current window means, and keep what it grants."""
+        """Return the result of a lease request in the current window, and add granted units to the lease."""
         if outcome.never_ran:
             return LeaseResult.REJECTED
         if outcome is not Outcome.OK:
@@ -184,7 +187,7 @@
         return LeaseResult.GRANTED if self._apply_grant(lease) else LeaseResult.DENIED
 
     def _reconcile(self, call: PendingCall, total: TotalUpdate) -> None:
-        """Take over a total of the current window, and correct it if it is wrong by much."""
+        """Adopt a total of the current window; make a correcting call at once if its error is large."""
         lease = call.lease
         if lease.ledger.reconcile(total):
             self.context.actions.append(Log(f"counter-lost customer={lease.quota.key.customer}"))
@@ -195,7 +198,7 @@
             self._add(lease, lease.ledger.pop_unreported_units(), is_adjustment=True)
 
     def _apply_grant(self, lease: Lease) -> bool:
-        """Keep what the quota grants of the requested units, return the rest; return whether it was all."""
+        """Add the granted units to the lease and return the others; return whether all units were granted."""
         now = self.context.now
         requested = lease.request.requested_units
         excess_units = max(0.0, lease.ledger.excess_units(now))
--- a/gateway/policy/counter_ledger.py
+++ b/gateway/policy/counter_ledger.py
@@ -1,4 +1,4 @@
-"""The account of one quota with the counter: what the counter has of a window, and is still to be told."""
+"""How one gateway tracks a quota's total at the counter, and the units that it has not reported yet."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     from gateway.policy.lease_request import LeaseRequest
     from gateway.policy.quota import Quota
 
-MIN_LOST_UNITS = 0.01  # by which a total must be too low to count as lost
+MIN_LOST_UNITS = 0.01  # a total counts as lost only if it is too low by more than this, which may be rounding
 
 
 @dataclass(slots=True)
 class TotalUpdate:
-    """The counter's reply to a call that added units.
+    """The total of the current window, as reported by a successful counter call.
 
     Attributes:
-        total: Units of all gateways in the window, after the call.
-        amount: Units that the call added.
-        in_flight_units: Units that this gateway's calls in flight behind it add.
+        total: Units that all gateways have added in the window, this call included.
+        amount: Units that this call added; below 0 if it subtracted units.
+        in_flight_units: Units that this gateway's later calls add, which are still in flight.
         received_at: Unix time of the reply, in seconds.
-        is_first_in_window: Whether what others have added in this window was not known before.
+        is_first_in_window: Whether it is a rate quota's first total of this window.
     """
 
     total: float
@@ -37,11 +37,12 @@
 
 @dataclass(slots=True)
 class LeaseBatch:
-    """What a lease should request next.
+    """The units that a lease requests next from the counter.
 
     Attributes:
-        units: Units to request.
-        overflow_units: Units that accrued while the quota was full, to be added to the total.
+        units: Units to lease.
+        overflow_units: Units that accrued while the quota was full.  They are lost, so they are added to the
+            total as if they had been leased.
     """
 
     units: float
@@ -50,11 +51,11 @@
 
 @dataclass(slots=True)
 class Denial:
-    """How long requests are rejected after a denied lease.
+    """How long a customer's requests are rejected after the quota denied a lease.
 
     Attributes:
-        delay: Seconds until the quota holds what is missing.
-        is_contended: Whether other gateways are likely to request the same unit.
+        delay: Seconds until the missing units should be available.
+        is_contended: Whether other gateways are likely to request the next unit too.
     """
 
     delay: float
@@ -63,16 +64,18 @@
 
 @dataclass(slots=True)
 class CounterLedger(ABC):
-    """What the counter has of a quota's current window; amounts in units, or in slots.
+    """This gateway's view of a quota's total in the current window; amounts in units, or in slots.
+
+    The counter keeps one total for each quota and window, to which all gateways add what they lease.
 
     Attributes:
         quota: The quota.
-        window_index: Number of the window; -1 before the first one.
-        estimated_total: The window's total as last seen, with this gateway's calls in flight.
-        confirmed_units: Units that this gateway added, as far as the counter has confirmed it.
-        unreported_units: Units that this gateway has still to add, or to take off if negative.
-        synchronized: Whether the counter has replied in this window.
-        synchronized_at: Unix time of its last reply, in seconds.
+        window_index: Index of the current window; -1 before the first one.
+        estimated_total: The last total that the counter reported, plus this gateway's calls in flight.
+        confirmed_units: Least total to expect, as this gateway's successful calls added that much.
+        unreported_units: Units that this gateway has yet to add to the total; below 0, units to subtract.
+        synchronized: Whether the counter has reported a total in this window.
+        synchronized_at: Unix time of the last reported total, in seconds.
     """
 
     quota: Quota
@@ -84,40 +87,40 @@
     synchronized_at: float = -math.inf
 
     def record_call(self, amount: float) -> None:
-        """Count the units that a call in flight adds."""
+        """Include the amount of a call that is being sent in the estimated total."""
         self.estimated_total += amount
 
     def defer_report(self, units: float) -> None:
-        """Keep units to be added by a later call."""
+        """Record units that a later call must add to the total."""
         self.unreported_units += units
 
     def pop_unreported_units(self) -> float:
-        """Return the units that are still to be added, as a call adds them now."""
+        """Return the unreported units and set them to 0, for a call that adds them now."""
         units = self.unreported_units
         self.unreported_units = 0.0
         return units
 
     def revert_call(self, amount: float, obsolete_units: float) -> None:
-        """Keep what a call failed to add for a later one, but for the units that are of no more use."""
+        """Undo a call that had no effect: a later call adds its amount, less the units no longer needed."""
         self.estimated_total -= amount
         self.unreported_units += amount - obsolete_units
 
-    def reconcile(self, reply: TotalUpdate) -> bool:
-        """Take over a total; return whether the counter had lost units that this gateway added."""
-        self.confirmed_units += reply.amount
-        has_lost_units = self.confirmed_units - reply.total > MIN_LOST_UNITS
+    def reconcile(self, update: TotalUpdate) -> bool:
+        """Adopt a reported total; return whether the counter has lost units that this gateway added."""
+        self.confirmed_units += update.amount
+        has_lost_units = self.confirmed_units - update.total > MIN_LOST_UNITS
         if has_lost_units:
-            self.unreported_units += self._units_to_restore(reply)
-            self.confirmed_units = reply.total
-        elif reply.total > EPSILON:
-            self._deduplicate_carry_over(reply)
+            self.unreported_units += self._units_to_restore(update)
+            self.confirmed_units = update.total
+        elif update.total > EPSILON:
+            self._deduplicate_carry_over(update)
         self.synchronized = True
-        self.synchronized_at = reply.received_at
-        self.estimated_total = reply.total + reply.in_flight_units
+        self.synchronized_at = update.received_at
+        self.estimated_total = update.total + update.in_flight_units
         return has_lost_units
 
     def _start_window(self, window_index: int, unreported_units: float) -> None:
-        """Begin an empty window, to which units are to be added."""
+        """Reset the ledger to an empty window, to whose total these units have yet to be added."""
         self.window_index = window_index
         self.estimated_total = 0.0
         self.confirmed_units = 0.0
@@ -126,56 +129,66 @@
 
     @abstractmethod
     def open_window(self, window_index: int, credits_left: float, slots_in_use: int) -> None:
-        """Begin a window, in which the lease's unspent credits have expired."""
+        """Start a window: the lease's unspent credits expire, and its slots in use move to the new total."""
 
     @abstractmethod
     def record_lost_reply(self, request: LeaseRequest) -> None:
-        """Account for a request that the counter has likely added, without a reply."""
+        """Account for a lease request that timed out: the counter has probably added its units."""
 
     @abstractmethod
-    def _units_to_restore(self, reply: TotalUpdate) -> float:
-        """Return the units to add again after the counter has lost some."""
+    def _units_to_restore(self, update: TotalUpdate) -> float:
+        """Return the units to add again after the counter has lost part of the total."""
 
     @abstractmethod
-    def _deduplicate_carry_over(self, reply: TotalUpdate) -> None:
-        """Take off what another gateway has carried over into this window as well."""
+    def _deduplicate_carry_over(self, update: TotalUpdate) -> None:
+        """Keep units from being counted twice that several gateways carry over into the same window."""
 
     @abstractmethod
-    def correct_total(self, request: LeaseRequest, reply: TotalUpdate) -> float:
-        """Return the units to add, as the reply to a request shows that the total is wrong; 0 to leave it."""
+    def correct_total(self, request: LeaseRequest, update: TotalUpdate) -> float:
+        """Check the total after a lease request; return the units that correct it, or 0 if it may stay.
+
+        The units are also recorded as unreported: a caller that makes no call now leaves them to a later one.
+        """
 
     @abstractmethod
     def may_report_units(self) -> bool:
-        """Return whether a request may add the unreported units too, before the counter has replied."""
+        """Return whether a call may add the unreported units now; if not, a total is needed first."""
 
     @abstractmethod
     def overdue_units(self) -> float:
-        """Return the unreported units that should not wait for the next request."""
+        """Return the unreported units that should be added now, before the next lease request."""
 
     @abstractmethod
     def next_batch(self, batch_size: float, now: float) -> LeaseBatch:
-        """Return what to request, if the lease prefers that many units at once."""
+        """Return the units to request next, given the batch size that the lease has learned."""
 
     @abstractmethod
     def excess_units(self, now: float) -> float:
-        """Return the units by which the quota is exceeded; below 0 if it is not."""
+        """Return the units by which the total exceeds the quota; below 0, the units left."""
 
     @abstractmethod
     def quota_utilization(self, now: float) -> float:
-        """Return the fraction of the quota that is in use."""
+        """Return the fraction of the quota that is in use, by the estimated total."""
 
     @abstractmethod
     def is_scarce(self, now: float) -> bool:
-        """Return whether other gateways may need the credits that idle here."""
+        """Return whether little of the quota is left, so that other gateways may need idle credits."""
 
     @abstractmethod
     def is_half_available(self, now: float) -> bool:
-        """Return whether the quota was half full so recently that it can hardly have run dry since."""
+        """Return whether half the quota is available, by a total too recent for the quota to be used up."""
 
     @abstractmethod
     def is_grant_ratio_current(self, now: float) -> bool:
-        """Return whether the customer's past grants say how much of the quota is left."""
+        """Return whether the lease's past grants still tell how much of the quota is left."""
 
     @abstractmethod
     def denial(self, needed_units: float, credits_left: float, spendable: float, now: float) -> Denial:
-        """Return how long to reject requests after a lease is denied, of which the next needs units."""
+        """Return how long to reject requests after a denied lease.
+
+        Args:
+            needed_units: Units that the next request needs.
+            credits_left: Credits of the lease, those included that cannot be spent yet.
+            spendable: Credits that can be spent now.
+            now: Unix time, in seconds.
+        """
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate at which one gateway calls the counter."""
+"""Rate limiting of one gateway's calls to the counter."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 if TYPE_CHECKING:
     from gateway.policy.context import Context
 
-INITIAL_CALLS_PER_SECOND = 800.0  # of all gateways together
-MIN_CALLS_PER_SECOND = 60.0  # of all gateways, while the counter fails: enough to notice its recovery
-GROWTH_PER_SECOND = 0.25  # fraction by which the rate grows in a second of fast replies, if it is the limit
-BACKOFF_FACTOR = 0.88  # on the rate, for a call that fails or takes half its timeout
-BURST_SECONDS = 0.1  # seconds whose calls may be saved up
-FAILURE_WEIGHT = 0.1  # of the newest call in the failure ratio
+INITIAL_CALLS_PER_SECOND = 800.0  # all gateways together
+MIN_CALLS_PER_SECOND = 60.0  # all gateways together; enough to notice when a failed counter recovers
+GROWTH_PER_SECOND = 0.25  # relative growth of the rate with fast replies, while the limit is reached
+BACKOFF_FACTOR = 0.88  # on the rate, when a call fails or takes half its timeout or longer
+BURST_SECONDS = 0.1  # unused calls accumulate for this time
+FAILURE_WEIGHT = 0.1  # weight of the newest call in the failure ratio
 UNAVAILABLE_RATIO = 0.5  # failure ratio above which the counter counts as unavailable
 
 
 class CounterRateLimiter:
-    """Limits the rate of counter calls by AIMD: slow growth, and backoff when a call is rejected or slow.
+    """Limits the rate of counter calls: slow growth, and multiplicative backoff on rejected or slow calls.
 
-    A broken connection counts only once most calls fail.
+    Calls that fail otherwise, as on a broken connection, lower the rate only once most calls fail.
 
     Attributes:
         enabled: Whether there is a counter.
-        rate: Calls a second that this gateway may make.
-        failure_ratio: Fraction of the calls that got no reply.
-        call_tokens: The calls that may be made now.
+        rate: Calls per second that this gateway may make.
+        failure_ratio: Moving average of the fraction of calls that got no reply.
+        call_tokens: The token bucket of calls that may be made now.
     """
 
     def __init__(self, context: Context) -> None:
@@ -41,13 +41,13 @@
         self.rate = INITIAL_CALLS_PER_SECOND / context.gateway_count if self.enabled else 0.0
         self.failure_ratio = MovingAverage(0.0, FAILURE_WEIGHT)
         self.call_tokens = TokenBucket(1 + context.random.random())
-        self._stable_rate = self.rate  # before an outage
+        self._stable_rate = self.rate  # last rate while the counter was available
         self._last_decrease_at = 0.0
         self._last_fast_reply_at = math.inf
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether most calls get no reply.  A counter that rejects calls is overloaded but available."""
+        """Whether most calls get no reply.  A counter that rejects calls is overloaded, but available."""
         return self.failure_ratio.value > UNAVAILABLE_RATIO
 
     def record_reply(self, reply: CounterReply) -> None:
@@ -62,19 +62,22 @@
             self._decrease_rate()
 
     def _increase_rate(self) -> None:
-        """Double the rate up to half of that before an outage; then grow by time while it is the limit."""
+        """Raise the rate after a fast reply.
+
+        It doubles up to half the rate before an outage, and then grows with time while the limit is reached.
+        """
         now = self.context.now
         if self.rate < self._stable_rate / 2:
             self.rate *= 2
         elif self._available_calls() < 1.0:
-            # By time, not by reply: of many gateways each gets few replies.
+            # Growth per time, not per reply: in a large deployment each gateway gets few replies.
             seconds = min(1.0, max(0.0, now - self._last_fast_reply_at))
             self.rate *= 1 + GROWTH_PER_SECOND * seconds
             self._stable_rate = max(self._stable_rate, self.rate)
         self._last_fast_reply_at = now
 
     def _decrease_rate(self) -> None:
-        """Back off once for the calls that were in flight together, and twice as far without replies."""
+        """Back off once for calls in flight together; twice as far while the counter is unavailable."""
         now = self.context.now
         if now - self._last_decrease_at <= 2 * self.timeout:
             return
@@ -86,7 +89,7 @@
             self._stable_rate = self.rate
 
     def record_call(self) -> None:
-        """Count a call that is made."""
+        """Consume a token for a call that is made."""
         self.call_tokens.refill(self.context.now, self.rate, 2 + self.rate * BURST_SECONDS)
         self.call_tokens.consume(1)
 
@@ -95,9 +98,9 @@
 
     def may_call(self) -> bool:
         """Return whether a call may be made now."""
-        # The bucket's capacity is above the one call that this is about.
+        # The capacity does not matter here: it is always more than one call.
         return self.enabled and self.call_tokens.available(self.context.now, self.rate, math.inf) >= 1.0
 
     def has_headroom(self) -> bool:
-        """Return whether calls are left for those that only refine a decision."""
+        """Return whether enough calls are left for optional ones, which only make decisions more accurate."""
         return self._available_calls() > 1 + self.rate * BURST_SECONDS / 2
--- a/gateway/policy/grant_history.py
+++ b/gateway/policy/grant_history.py
@@ -1,4 +1,4 @@
-"""How a lease's requests have fared, and when it may make the next one."""
+"""The grants and denials of a lease's requests for units, and when the lease may request units again."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     """The grants and denials of one lease.
 
     Attributes:
-        ratio: Average of the requests that were granted in full, from 0 to 1.
-        consecutive_denials: Denials since the last such request, up to a limit.
-        denied_until: Unix time until which requests are rejected, in seconds.
+        ratio: Moving average of the fraction of requests granted in full, from 0 to 1.
+        consecutive_denials: Denials since the last request that was granted in full, up to a limit.
+        denied_until: Unix time until which client requests are rejected, in seconds.
         retry_at: Earliest Unix time of the next call after the counter rejected one, in seconds.
     """
 
@@ -29,7 +29,7 @@
     retry_at: float = 0.0
 
     def record(self, *, all_granted: bool) -> None:
-        """Include the reply to one request."""
+        """Record the reply to one request for units."""
         self.ratio.record(float(all_granted))
         if all_granted:
             self.consecutive_denials = 0
@@ -39,13 +39,13 @@
         self.consecutive_denials = min(self.consecutive_denials + 1, limit)
 
     def deny_until(self, time: float) -> None:
-        """Reject requests until a Unix time."""
+        """Have client requests rejected until a Unix time in seconds."""
         self.denied_until = time
 
     def clear_denial(self) -> None:
-        """Reject no more requests."""
+        """Have no more client requests rejected."""
         self.denied_until = 0.0
 
     def postpone_call(self, time: float) -> None:
-        """Make no call before a Unix time."""
+        """Allow the next call from a Unix time in seconds on."""
         self.retry_at = time
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -1,4 +1,4 @@
-"""One customer's lease of a quota: credits that its requests may spend without asking the counter."""
+"""One customer's lease of a quota: credits that its requests may spend without a counter call."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 @dataclass(slots=True, eq=False)
 class Lease:
-    """A customer's leased part of a quota at this gateway; amounts in units, or in slots.
+    """The part of a customer's quota that this gateway has leased; amounts in units, or in slots.
 
     Attributes:
         quota: The quota.
-        ledger: What the counter has of it.
-        sizer: How many units to request at once.
-        clock: Which refill time the lease is in.
-        request: The last request for units.
-        grants: How the requests have fared.
-        usage: How much the lease is used.
-        local_tokens: What requests may spend if the counter is not to be asked.
-        waiters: Requests that wait for credits, oldest first.
-        credits: Units that were leased and not spent.
-        accruing_credits: Those of them that were leased ahead, and become spendable as the quota refills.
-        accruing_since: Unix time since when they do, in seconds.
+        ledger: The quota's total at the counter, as this gateway knows it.
+        sizer: Learns the batch size: the units to request in one call.
+        clock: The refill time that the lease is in.
+        request: The last counter call that requested units for this lease.
+        grants: The grants and denials of these calls.
+        usage: The lease's use by client requests.
+        local_tokens: Tokens of the local quota, which admits requests without the counter.
+        waiters: Client requests that wait for credits, oldest first.
+        credits: Units that were leased and not spent yet.
+        accruing_credits: Part of `credits` that was leased ahead and becomes spendable as the quota refills.
+        accruing_since: Unix time at which `accruing_credits` was set, in seconds.
     """
 
     quota: Quota
@@ -53,12 +53,12 @@
     accruing_since: float = 0.0
 
     def spendable_credits(self, now: float) -> float:
-        """Return the credits that may be spent now."""
+        """Return the credits that may be spent now, without those that have yet to accrue."""
         accrued = (now - self.accruing_since) * self.quota.plan.rate
         return self.credits - max(0.0, self.accruing_credits - accrued)
 
     def roll_window(self, now: float) -> None:
-        """Expire credits at the window's edge; adapt the batch size after each refill time."""
+        """Expire the credits when a new window begins; adapt the batch size when a refill time ends."""
         clock = self.clock
         if clock.checked_at <= now < clock.unchanged_until:
             return
@@ -80,32 +80,32 @@
         self.accruing_credits = 0.0
 
     def update_batch_size(self, now: float) -> None:
-        """Learn the batch size from the demand of the refill time that ends."""
+        """Adapt the batch size to the demand of the refill time that ends."""
         quota_utilization = self.ledger.quota_utilization(now)
         self.sizer.update(self.usage.served_units, quota_utilization, self.quota.limit)
 
     def record_request(self, now: float) -> None:
-        """Bring the lease up to date for a request that needs a credit of it."""
+        """Update window and usage for a client request that needs credits of this lease."""
         self.roll_window(now)
         self.usage.record_request(now, self.quota.refill_time)
 
     def spend(self, units: float) -> None:
-        """Spend credits on a request."""
+        """Spend credits on a client request."""
         self.credits -= units
         self.usage.record_spend(units)
 
     def add_local_credits(self, units: float) -> None:
-        """Add credits that the counter has still to be told of."""
+        """Add credits that were not leased; a later call adds them to the counter's total."""
         self.credits += units
         self.ledger.defer_report(units)
 
     def release(self, refunded_units: float) -> None:
-        """Take back what an ended request held of this lease."""
+        """Record that a request no longer holds credits, and add the units to refund, if any."""
         self.usage.record_release()
         self.credits += refunded_units
 
     def add_grant(self, grant: Grant, now: float, *, all_granted: bool) -> None:
-        """Keep what the quota granted of the requested units."""
+        """Add the granted units to the credits."""
         if not all_granted:
             self.accruing_credits = grant.accruing_units
             self.accruing_since = now
@@ -113,13 +113,17 @@
         self.credits += grant.units
 
     def pop_credits(self) -> float:
-        """Return all credits, which the lease then no longer has."""
+        """Remove all credits from the lease and return them."""
         units = self.credits
         self.credits = 0.0
         return units
 
     def handle_failed_call(self, amount: float, outcome: Outcome, *, is_adjustment: bool) -> None:
-        """Account for a failed call.  Without a reply a request was likely added; returns are repeated."""
+        """Account for a failed call.
+
+        A call that added nothing is undone.  A lease request that timed out has probably been added; a return
+        that timed out is repeated.
+        """
         request = self.request
         if amount <= 0 or outcome.never_ran:
             obsolete_units = 0.0 if is_adjustment else request.requested_units + request.overflow_units
@@ -128,29 +132,29 @@
             self.ledger.record_lost_reply(request)
 
     def denial(self, now: float) -> Denial:
-        """Return how long to reject requests after a denied request for units."""
+        """Return how long to reject client requests after a denied lease request."""
         needed = self.quota.units_of(self.waiters[0]) if self.waiters else 1.0
         return self.ledger.denial(needed, self.credits, self.spendable_credits(now), now)
 
     def awaited_units(self) -> float:
-        """Return the units that the waiters need."""
+        """Return the units that all waiters need together."""
         return sum(self.quota.units_of(pending) for pending in self.waiters)
 
     def add_waiter(self, pending: PendingRequest) -> None:
-        """Let a request wait for credits."""
+        """Add a request that waits for credits."""
         self.waiters.append(pending)
 
     def remove_first_waiter(self) -> None:
-        """Remove the request that waits longest."""
+        """Remove the oldest waiter."""
         self.waiters.popleft()
 
     def remove_waiter(self, pending: PendingRequest) -> None:
-        """Remove a request, if it waits."""
+        """Remove a request if it is waiting."""
         if pending in self.waiters:
             self.waiters.remove(pending)
 
     def pop_waiters(self) -> deque[PendingRequest]:
-        """Return all waiters, which then wait no more."""
+        """Remove all waiters and return them."""
         waiters = self.waiters
         self.waiters = deque()
         return waiters
--- a/gateway/policy/lease_request.py
+++ b/gateway/policy/lease_request.py
@@ -1,4 +1,4 @@
-"""The counter call by which a lease requests units, from its start to its reply."""
+"""The state of a lease's calls to the counter that request units."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """The last request of one lease.
+    """The last counter call that requested units, or reported a carry-over, for one lease.
 
     Attributes:
-        in_flight: Whether its call has no reply yet.
-        requested_units: Units that it requests.
-        overflow_units: Units that accrued while the quota was full, and that the call adds to the total.
-        units_before_sync: Units that the call before requested, whose reply was the window's first total.
+        in_flight: Whether the call has no reply yet.
+        requested_units: Units that the call requests; 0 if it reports a carry-over.
+        overflow_units: Units that accrued while the quota was full, which the call adds to the total too.
+        units_before_sync: For a carry-over call, the units that the call before it requested.  The reply to
+            that call brought the first total of the window.
     """
 
     in_flight: bool = False
@@ -22,22 +23,22 @@
     units_before_sync: float = 0.0
 
     def mark_sent(self, requested_units: float, overflow_units: float) -> None:
-        """Begin a request for units."""
+        """Record that a call was sent which requests units."""
         self.in_flight = True
         self.requested_units = requested_units
         self.overflow_units = overflow_units
         self.units_before_sync = 0.0
 
     def mark_carry_over_sent(self) -> None:
-        """Begin a call that requests no units, but adds what the first total in a window left to add."""
+        """Record that a call was sent which reports a carry-over and requests no units."""
         self.in_flight = True
         self.units_before_sync = self.requested_units
         self.requested_units = 0.0
 
     def set_overflow(self, overflow_units: float) -> None:
-        """Replace the overflow, as the first total in a window shows it."""
+        """Set the overflow that follows from the first total of a window."""
         self.overflow_units = overflow_units
 
     def mark_finished(self) -> None:
-        """Record that the call has its reply, or gets none."""
+        """Record that the call has ended, with a reply or by a failure."""
         self.in_flight = False
--- a/gateway/policy/lease_sizing.py
+++ b/gateway/policy/lease_sizing.py
@@ -1,4 +1,4 @@
-"""How many units a lease requests at once."""
+"""The batch size of a lease: the units that it requests in one counter call."""
 
 from __future__ import annotations
 
@@ -6,17 +6,21 @@
 from dataclasses import dataclass
 
 LEARNING_RATE = 0.5  # AdaGrad step on ln(batch size)
-MIN_STRANDING_COST = 0.5  # in counter calls: an unused unit always costs others something
+MIN_STRANDING_COST = 0.5  # in counter calls; above 0, as an unused unit always costs other gateways something
 MIN_CALL_PRICE = 1e-3  # keeps the gradient finite where calls cost nothing
 
 
 @dataclass(slots=True)
 class BatchSizer:
-    """AdaGrad on ln b, for the batch size b that minimizes price*demand/b + stranding_cost*b/2.
+    """Learns the batch size b that minimizes price*demand/b + stranding_cost*b/2, by AdaGrad on ln b.
+
+    The first term is the cost of the counter calls in a refill time.  The second term is the cost of leased
+    units that stay unused here, on average half a batch, while other gateways may need them.
+
 
     Attributes:
         log_batch_size: Natural logarithm of the batch size in units.
-        counter_price: Cost of a counter call, as a fraction of the cost of a denied unit.
+        counter_price: Cost of one counter call, as a fraction of the cost of a denied unit.
         squared_gradients: AdaGrad's sum of squared gradients.
     """
 
@@ -26,11 +30,17 @@
 
     @property
     def batch_size(self) -> float:
-        """The units to request at once, not rounded."""
+        """Units to request in one call, not rounded."""
         return math.exp(self.log_batch_size)
 
     def update(self, demand: float, quota_utilization: float, max_batch_size: float) -> None:
-        """Take one step, given the units served in a refill time and the used fraction of the quota."""
+        """Take one gradient step at the end of a refill time.
+
+        Args:
+            demand: Units that requests spent in the refill time.
+            quota_utilization: Fraction of the quota in use; limited to the range from 0 to 1.
+            max_batch_size: Upper limit of the batch size, in units.
+        """
         price = max(self.counter_price, MIN_CALL_PRICE)
         quota_utilization = min(1.0, max(0.0, quota_utilization))
         stranding_cost = max(MIN_STRANDING_COST * price, quota_utilization**2)
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -1,4 +1,4 @@
-"""The leases of one gateway: which there are, what requests hold of them, and when they are forgotten."""
+"""The leases of one gateway: creating them, returning unused credits, and evicting them."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     from gateway.policy.counter_calls import CounterCalls
     from gateway.policy.events import Request
 
-MAX_IDLE_SECONDS = 30.0  # after which a lease is forgotten
+MAX_IDLE_SECONDS = 30.0  # an unused lease is evicted after this time
 
 
 class LeaseTable:
-    """One lease for each customer and kind of quota.
+    """Holds one lease for each customer and kind of quota.
 
     Attributes:
-        by_key: All leases, the one used last at the end.
-        reclaimable: Those with credits or slots that may have to be returned to the counter.
+        by_key: All leases, the least recently used first.
+        reclaimable: The leases that may have credits or slots to return to the counter.
     """
 
     def __init__(self, context: Context, calls: CounterCalls) -> None:
@@ -34,7 +34,7 @@
         self.reclaimable: dict[LeaseKey, Lease] = {}
 
     def get_or_create(self, request: Request, kind: QuotaKind) -> Lease:
-        """Return the lease for a request, in its current window."""
+        """Return the lease for a request, created if needed and moved to the current window."""
         key = LeaseKey(request.customer, kind)
         lease = self.by_key.pop(key, None) or self._create(request, kind)
         self.by_key[key] = lease
@@ -48,14 +48,14 @@
         return Lease(quota, make_ledger(quota), BatchSizer(math.log(fair_share), settings.counter_price))
 
     def spend(self, lease: Lease, ticket: AdmissionTicket, units: float) -> None:
-        """Hand a request the credits that it needs."""
+        """Spend the credits that a request needs."""
         lease.spend(units)
         ticket.add_credits(lease)
         if lease.quota.is_reclaimable(lease.credits):
             self.reclaimable[lease.quota.key] = lease
 
     def release(self, ticket: AdmissionTicket) -> None:
-        """Take back what a closed request holds: its slots, and rate credits if it was never sent."""
+        """Release a closed request's slots, and refund its rate credits if no attempt was started."""
         for lease in ticket.acquired_credits:
             lease.roll_window(self.context.now)
             lease.release(lease.quota.refundable_units(ticket.pending))
@@ -63,7 +63,7 @@
                 self.calls.return_slots(lease, lease.quota.slots_per_request)
 
     def drop_expired_credit(self, ticket: AdmissionTicket) -> bool:
-        """Drop a request's credit if it has expired with its refill time; return whether it had."""
+        """Drop a request's credits of one lease if their refill time has ended; return whether it had."""
         for lease in ticket.leases:
             lease.roll_window(self.context.now)
             if lease.quota.has_credit_expired(ticket.acquired_credits[lease], lease.clock.refill_index):
@@ -73,7 +73,7 @@
         return False
 
     def reclaim_idle_credits(self) -> None:
-        """Return slots, and idle credits of customers near their limit; forget leases long unused."""
+        """Report slots, return idle credits of customers near their limit, and evict unused leases."""
         for key, lease in list(self.reclaimable.items()):
             lease.roll_window(self.context.now)
             if lease.request.in_flight or not self.calls.rate_limiter.may_call():
@@ -85,12 +85,12 @@
         self._evict_unused_leases()
 
     def _reclaim(self, lease: Lease) -> bool:
-        """Return idle credits if others may need them; return whether no credits are left to return."""
+        """Return idle credits if other gateways may need them; return whether none are left to return."""
         now = self.context.now
         if not lease.quota.are_credits_idle(now - lease.usage.last_used_at):
             return lease.credits <= EPSILON
         if not lease.ledger.is_scarce(now):
-            return True  # no other gateway misses the credits
+            return True  # other gateways do not need the credits
         if self.calls.rate_limiter.has_headroom():
             self.calls.return_units(lease, lease.pop_credits())
         return lease.credits <= EPSILON
@@ -102,6 +102,6 @@
             if now - lease.usage.last_used_at <= MAX_IDLE_SECONDS:
                 break
             del self.by_key[key]
-            if lease.usage.slots_in_use:  # looked at again after the others
+            if lease.usage.slots_in_use:  # keep it, as the most recently used
                 lease.usage.postpone_expiry(now)
                 self.by_key[key] = lease
--- a/gateway/policy/lease_usage.py
+++ b/gateway/policy/lease_usage.py
@@ -1,4 +1,4 @@
-"""How much a lease is used, and how lately."""
+"""How much a lease is used by client requests, and when it was used last."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     """The use of one lease.
 
     Attributes:
-        served_units: Units that were spent in the present refill time.
-        slots_in_use: Requests in progress that hold a credit.
+        served_units: Units that were spent in the current refill time.
+        slots_in_use: Requests in progress that hold credits of the lease.
         last_used_at: Unix time of the last request, in seconds.
-        is_frequent: Whether the last two requests came within a refill time.
+        is_frequent: Whether the last two requests arrived within one refill time.
     """
 
     served_units: float = 0.0
@@ -22,23 +22,23 @@
     is_frequent: bool = False
 
     def record_request(self, now: float, refill_time: float) -> None:
-        """Count a request that needs a credit."""
+        """Record the arrival of a request that needs credits."""
         self.is_frequent = now - self.last_used_at < refill_time
         self.last_used_at = now
 
     def record_spend(self, units: float) -> None:
-        """Count a credit that a request takes."""
+        """Record that a request has spent units."""
         self.served_units += units
         self.slots_in_use += 1
 
     def record_release(self) -> None:
-        """Count a credit that a request no longer holds."""
+        """Record that a request no longer holds its credits."""
         self.slots_in_use -= 1
 
     def reset_served_units(self) -> None:
-        """Count the units of a new refill time."""
+        """Reset the count of spent units when a new refill time begins."""
         self.served_units = 0.0
 
     def postpone_expiry(self, now: float) -> None:
-        """Count the lease as used now, as a request still holds a credit."""
+        """Treat the lease as used now, because a request still holds credits of it."""
         self.last_used_at = now
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -1,4 +1,4 @@
-"""Quotas: what a plan allows each of its customers over all gateways together."""
+"""Quotas: the limits of a plan, which apply to each customer over all gateways together."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from gateway.policy.pending_request import PendingRequest
     from gateway.policy.settings import Plan
 
-IDLE_FRACTION = 0.25  # of the refill time, after which unused credits count as idle
+IDLE_FRACTION = 0.25  # of the refill time; credits unused for longer count as idle
 
 
 class QuotaKind(IntEnum):
@@ -25,7 +25,7 @@
 
 
 class LeaseKey(NamedTuple):
-    """What identifies a lease at a gateway."""
+    """The key of a lease at one gateway."""
 
     customer: int
     kind: QuotaKind
@@ -33,13 +33,13 @@
 
 @dataclass(slots=True)
 class OverQuotaLease:
-    """A requested lease that exceeds its quota.
+    """A lease of more units than the quota has left.
 
     Attributes:
         requested_units: Units that were requested.
-        excess_units: Units by which the quota is exceeded.
-        credits: Credits that the lease held before.
-        is_frequent: Whether the customer's last two requests came within a refill time.
+        excess_units: Units by which the total, with the requested units, exceeds the quota.
+        credits: Credits that the lease had before.
+        is_frequent: Whether the customer's last two requests arrived within one refill time.
     """
 
     requested_units: float
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class Grant:
-    """The part of a requested lease that is kept.
+    """The units that are granted of a requested lease; the gateway returns the others.
 
     Attributes:
-        units: Units that are kept.
-        accruing_units: Units that are leased ahead, and can be spent only as the quota refills.
+        units: Units that are granted.
+        accruing_units: Part of `units` that is leased ahead and becomes spendable as the quota refills.
     """
 
     units: float
@@ -63,17 +63,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Quota(ABC):
-    """One limit of a customer's plan; amounts in units, or in slots of requests in progress.
+    """One quota of a customer; amounts in units, or in slots for requests in progress.
 
     Attributes:
         key: Key of the leases of this quota.
         plan: The customer's plan.
-        gateway_set_size: Gateways that serve the customer.
-        limit: Units that may be leased at once.
-        burst: Units that the full quota holds.
-        window_length: Seconds after which the counter begins a new total.
-        refill_time: Seconds in which the limit accrues again.
-        phase: Seconds by which the customer's windows begin earlier than others', to spread the calls.
+        gateway_set_size: Number of gateways that serve the customer.
+        limit: Largest batch size of a lease; for a concurrency quota, the number of slots.
+        burst: Units of the full quota.
+        window_length: Length of a window in seconds; the counter has one total for each window.
+        refill_time: Seconds in which `limit` units accrue.
+        phase: Offset in seconds by which windows begin earlier; it varies by customer to spread the calls.
     """
 
     key: LeaseKey
@@ -85,19 +85,19 @@
     refill_time: float
     phase: float
 
-    counts_slots: ClassVar[bool]  # part of the counter's name
+    counts_slots: ClassVar[bool]  # whether units are slots; part of the name of the total at the counter
     slots_per_request: ClassVar[float]  # slots that are returned to the counter when a request has ended
 
     def window_index(self, now: float) -> int:
-        """Return the number of the window at a Unix time."""
+        """Return the index of the window at a Unix time in seconds."""
         return math.floor((now + self.phase) / self.window_length)
 
     def refill_index(self, now: float) -> int:
-        """Return the number of the refill time at a Unix time."""
+        """Return the index of the refill time at a Unix time in seconds."""
         return math.floor((now + self.phase) / self.refill_time)
 
     def next_boundary(self, window_index: int, refill_index: int) -> float:
-        """Return the Unix time, but for rounding, at which the window or the refill time ends first."""
+        """Return the Unix time, up to rounding, at which the first of window and refill time ends."""
         window_end = (window_index + 1) * self.window_length
         refill_end = (refill_index + 1) * self.refill_time
         return min(window_end, refill_end) - self.phase
@@ -112,27 +112,27 @@
 
     @abstractmethod
     def accrual_rate(self, mean_latency: float) -> float:
-        """Return the units a second that become available, given the endpoints' mean latency in seconds."""
+        """Return the units per second that become available, given the endpoints' mean latency in seconds."""
 
     @abstractmethod
     def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
-        """Return the part of a lease to keep that exceeds the quota; the rest is returned."""
+        """Return the units to grant of a lease that exceeds the quota."""
 
     @abstractmethod
     def has_credit_expired(self, acquired_in: int, refill_index: int) -> bool:
-        """Return whether a credit has expired that a request has held since the refill time `acquired_in`."""
+        """Return whether credits that were acquired at the refill index `acquired_in` have expired."""
 
     @abstractmethod
     def refundable_units(self, pending: PendingRequest) -> float:
-        """Return the units that a lease gets back when a request has ended."""
+        """Return the units to refund to the lease when a request has ended."""
 
     @abstractmethod
     def is_reclaimable(self, credits_left: float) -> bool:
-        """Return whether a lease in use, with these credits left, may have units to return to the counter."""
+        """Return whether a lease with these credits left may have units to return to the counter."""
 
     @abstractmethod
     def are_credits_idle(self, idle_seconds: float) -> bool:
-        """Return whether credits that were not used for this time should be returned."""
+        """Return whether credits that were unused for this time should be returned to the counter."""
 
 
 class RateQuota(Quota):
@@ -143,7 +143,7 @@
     slots_per_request = 0.0
 
     def units_of(self, pending: PendingRequest) -> float:
-        """Return the request's own units."""
+        """Return the units of the request."""
         return pending.request.units
 
     def accrual_rate(self, _mean_latency: float) -> float:
@@ -151,7 +151,7 @@
         return self.plan.rate
 
     def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
-        """Keep whole units: a unit that is partly missing accrues soon, and waits here for the rest."""
+        """Grant whole units, rounded up: the missing fraction of the last unit accrues soon."""
         requested = over_quota.requested_units
         excess_units = over_quota.excess_units
         covered_units = max(0.0, requested - excess_units)
@@ -163,11 +163,11 @@
         return Grant(granted, accruing)
 
     def has_credit_expired(self, acquired_in: int, refill_index: int) -> bool:
-        """Return whether the refill time has ended in which the credit was taken."""
+        """Return whether the refill time in which the credits were acquired has ended."""
         return acquired_in != refill_index
 
     def refundable_units(self, pending: PendingRequest) -> float:
-        """Return the request's units if it was never sent."""
+        """Return the units of a request that no attempt was started for; else 0."""
         return 0.0 if pending.attempts_started else pending.request.units
 
     def is_reclaimable(self, credits_left: float) -> bool:
@@ -175,7 +175,7 @@
         return credits_left > EPSILON
 
     def are_credits_idle(self, idle_seconds: float) -> bool:
-        """Return whether a fraction of the refill time has passed without a request."""
+        """Return whether the credits were unused for longer than a fraction of the refill time."""
         return idle_seconds > IDLE_FRACTION * self.refill_time
 
 
@@ -191,11 +191,11 @@
         return 1.0
 
     def accrual_rate(self, mean_latency: float) -> float:
-        """Return the slots a second that become free when all are in use."""
+        """Return the slots per second that become free while all are in use."""
         return self.limit / mean_latency
 
     def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
-        """Keep whole slots, counted with those that the lease has."""
+        """Grant whole slots, counted together with the credits that the lease has."""
         covered_units = max(0.0, over_quota.requested_units - over_quota.excess_units)
         slots = math.floor(covered_units + over_quota.credits + EPSILON)
         return Grant(slots - over_quota.credits)
@@ -205,11 +205,11 @@
         return False
 
     def refundable_units(self, _pending: PendingRequest) -> float:
-        """Return 0: a slot goes back to the counter, not to the lease."""
+        """Return 0: a slot is returned to the counter, not to the lease."""
         return 0.0
 
     def is_reclaimable(self, _credits_left: float) -> bool:
-        """Return True: the slots in use will be returned."""
+        """Return True: slots in use have to be returned later."""
         return True
 
     def are_credits_idle(self, _idle_seconds: float) -> bool:
--- a/gateway/policy/quota_factory.py
+++ b/gateway/policy/quota_factory.py
@@ -1,4 +1,4 @@
-"""Quotas and their ledgers for the customers of a plan; no other module distinguishes the kinds."""
+"""Creates the quotas and ledgers of a plan's customers.  No other module distinguishes kinds of quota."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
     from gateway.policy.events import Request
     from gateway.policy.settings import Plan, Settings
 
-WINDOW_SECONDS = 20.0  # window of a rate quota: near its edge, gateways see each other's leases late
+# Window length of a rate quota; long, as gateways see each other's leases late near a window's boundary.
+WINDOW_SECONDS = 20.0
 
 
 def quota_kinds(plan: Plan) -> list[QuotaKind]:
@@ -29,7 +30,7 @@
 
 
 def make_quota(request: Request, kind: QuotaKind, settings: Settings) -> Quota:
-    """Return the quota of that kind for a request's customer."""
+    """Return the quota of one kind for the customer of a request."""
     plan = settings.plans[request.plan_index]
     key = LeaseKey(request.customer, kind)
     set_size = max(1, min(request.gateway_set_size, settings.gateway_count))
@@ -44,7 +45,11 @@
 
 
 def max_lease_units(plan: Plan) -> float:
-    """Return a burst in whole units; under a ceiling, what fits twice, and twice more as the local quota."""
+    """Return the most units of one lease of a rate quota: a burst, in whole units.
+
+    For a plan with a ceiling it is at most a quarter of the ceiling's burst, which has to hold two leases of
+    that size and as many units again that are admitted by the local quota.
+    """
     max_units = plan.burst
     if plan.ceiling_rate:
         max_units = min(plan.burst, plan.ceiling_burst / 4)
--- a/gateway/policy/token_bucket.py
+++ b/gateway/policy/token_bucket.py
@@ -14,7 +14,7 @@
     of the policy.
 
     Attributes:
-        tokens: Tokens at `updated_at`; below 0 where more was consumed than the bucket held.
+        tokens: Tokens at `updated_at`; below 0 if the bucket is overdrawn.
         updated_at: Unix time of the last refill, in seconds.
     """
 
@@ -22,22 +22,22 @@
     updated_at: float = 0.0
 
     def available(self, now: float, rate: float, capacity: float) -> float:
-        """Return the tokens that the bucket holds now, without refilling it."""
+        """Return the tokens available now, without refilling the bucket."""
         accrued = self.tokens + (now - self.updated_at) * rate
         return min(capacity, accrued)
 
     def refill(self, now: float, rate: float, capacity: float, fraction: float = 1.0) -> float:
-        """Add the tokens accrued since the last refill, at a fraction of the rate; return what there is."""
+        """Add the tokens accrued since the last refill, at a fraction of the rate; return all tokens."""
         accrued = self.tokens + (now - self.updated_at) * fraction * rate
         self.tokens = min(capacity, accrued)
         self.updated_at = now
         return self.tokens
 
     def consume(self, tokens: float, min_tokens: float = -math.inf) -> None:
-        """Take tokens out of the bucket, which may overdraw it down to `min_tokens`."""
+        """Remove tokens from the bucket, which may overdraw it down to `min_tokens`."""
         self.tokens = max(self.tokens - tokens, min_tokens)
 
     def reset(self, tokens: float, now: float) -> None:
-        """Begin again with a number of tokens."""
+        """Set the number of tokens at a Unix time in seconds."""
         self.tokens = tokens
         self.updated_at = now
