--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -147,9 +147,9 @@
 
     def may_wait_for_lease(self, pending: PendingRequest) -> bool:
         """Return whether a request should still wait for a call, as local admission may exceed the quota."""
-        longest = MAX_WAIT_FRACTION * pending.request_class.latency_objective
+        max_wait = MAX_WAIT_FRACTION * pending.request_class.latency_objective
         waiting_helps = self.rate_limiter.enabled and not self.rate_limiter.is_unavailable
-        return waiting_helps and self.context.now - pending.arrived_at < longest
+        return waiting_helps and self.context.now - pending.arrived_at < max_wait
 
     def _request_or_defer(self, lease: Lease) -> None:
         if self.rate_limiter.may_call() and self.context.now >= lease.grants.retry_at:
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -20,7 +20,7 @@
     from gateway.policy.settings import Plan
 
 MIN_CORRECTION = 0.02  # units; smaller errors of a total wait for the next lease request
-EXPIRY_SECONDS = 60.0  # at the latest, the counter deletes a window's total after this time
+MAX_EXPIRY_SECONDS = 60.0  # longest time for which the counter keeps the total of a window
 INITIAL_GRANT_RATIO = 0.5  # of each plan, until its leases have replies
 
 
@@ -139,7 +139,7 @@
         call = PendingCall(lease, window_index, amount, is_adjustment)
         self.calls_in_flight.setdefault(name, deque()).append(call)
         lease.ledger.record_call(amount)
-        expiry = min(EXPIRY_SECONDS, 4 * lease.quota.window_length)
+        expiry = min(MAX_EXPIRY_SECONDS, 4 * lease.quota.window_length)
         self.context.actions.append(AddToCounter(name, amount, expiry))
         self.rate_limiter.record_call()
 
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -74,7 +74,7 @@
         clock.advance(now, refill_index, quota.next_boundary(window_index, refill_index))
 
     def _open_window(self, window_index: int) -> None:
-        self.ledger.open_window(window_index, self.credits, self.usage.slots_in_use)
+        self.ledger.open_window(window_index, self.credits, self.usage.active_requests)
         self.grants.clear_denial()
         self.credits = 0.0
         self.accruing_credits = 0.0
--- a/gateway/policy/lease_sizing.py
+++ b/gateway/policy/lease_sizing.py
@@ -17,7 +17,6 @@
     The first term is the cost of the counter calls in a refill time.  The second term is the cost of leased
     units that stay unused here, on average half a batch, while other gateways may need them.
 
-
     Attributes:
         log_batch_size: Natural logarithm of the batch size in units.
         counter_price: Cost of one counter call, as a fraction of the cost of a denied unit.
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -80,7 +80,7 @@
                 continue
             if lease.ledger.overdue_units():
                 self.calls.report_overdue_units(lease)
-            if self._reclaim(lease) and not lease.usage.slots_in_use:
+            if self._reclaim(lease) and not lease.usage.active_requests:
                 del self.reclaimable[key]
         self._evict_unused_leases()
 
@@ -102,6 +102,6 @@
             if now - lease.usage.last_used_at <= MAX_IDLE_SECONDS:
                 break
             del self.by_key[key]
-            if lease.usage.slots_in_use:  # keep it, as the most recently used
+            if lease.usage.active_requests:  # keep it, as the most recently used
                 lease.usage.postpone_expiry(now)
                 self.by_key[key] = lease
--- a/gateway/policy/lease_usage.py
+++ b/gateway/policy/lease_usage.py
@@ -11,13 +11,13 @@
 
     Attributes:
         served_units: Units that were spent in the current refill time.
-        slots_in_use: Requests in progress that hold credits of the lease.
+        active_requests: Requests in progress that hold credits of the lease.
         last_used_at: Unix time of the last request, in seconds.
         is_frequent: Whether the last two requests arrived within one refill time.
     """
 
     served_units: float = 0.0
-    slots_in_use: int = 0
+    active_requests: int = 0
     last_used_at: float = 0.0
     is_frequent: bool = False
 
@@ -29,11 +29,11 @@
     def record_spend(self, units: float) -> None:
         """Record that a request has spent units."""
         self.served_units += units
-        self.slots_in_use += 1
+        self.active_requests += 1
 
     def record_release(self) -> None:
         """Record that a request no longer holds its credits."""
-        self.slots_in_use -= 1
+        self.active_requests -= 1
 
     def reset_served_units(self) -> None:
         """Reset the count of spent units when a new refill time begins."""
--- a/gateway/policy/token_bucket.py
+++ b/gateway/policy/token_bucket.py
@@ -10,7 +10,7 @@
 class TokenBucket:
     """Tokens that accrue over time, up to a capacity.
 
-    Rate (tokens a second) and capacity (tokens) are arguments, as they follow from the state of other parts
+    Rate (tokens per second) and capacity (tokens) are arguments, as they depend on the state of other parts
     of the policy.
 
     Attributes:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -24,10 +24,10 @@
 if TYPE_CHECKING:
     from gateway.policy.actions import AddToCounter
 
-GATEWAYS = 12
+GATEWAY_COUNT = 12
 GATEWAY_SET_SIZE = 6
-CUSTOMERS = 60
-SECONDS = 20
+CUSTOMER_COUNT = 60
+DURATION_SECONDS = 20
 RATE = 4.0  # units per second, of the first plan in tests/support/policy.py
 BURST = 8.0  # units, of the same plan
 VIEW_DELAY_SECONDS = 0.2  # after this time, the reference policy sees that a request was admitted
@@ -82,7 +82,7 @@
 
 def make_quotas() -> list[MeteredQuota]:
     """Return one quota for each customer."""
-    return [MeteredQuota() for _ in range(CUSTOMERS)]
+    return [MeteredQuota() for _ in range(CUSTOMER_COUNT)]
 
 
 def make_arrivals(seed: int) -> list[Arrival]:
@@ -92,12 +92,12 @@
     """
     generator = random.Random(seed)
     arrivals = []
-    for customer in range(CUSTOMERS):
+    for customer in range(CUSTOMER_COUNT):
         loads = [generator.uniform(0.15, 0.5), 0.95, generator.uniform(2, 5)]  # fractions of the quota
         load = generator.choices(loads, [0.75, 0.16, 0.09])[0]
         now = START
-        while (now := now + generator.expovariate(load * RATE)) < START + SECONDS:
-            gateway = (customer + generator.randrange(GATEWAY_SET_SIZE)) % GATEWAYS
+        while (now := now + generator.expovariate(load * RATE)) < START + DURATION_SECONDS:
+            gateway = (customer + generator.randrange(GATEWAY_SET_SIZE)) % GATEWAY_COUNT
             arrivals.append(Arrival(now, customer, gateway))
     return sorted(arrivals)
 
@@ -143,8 +143,8 @@
         self.quotas = make_quotas()
         self.forwarded = 0
         self.gateways = [
-            make_policy((), index, me=str(index), peers_total=str(GATEWAYS), caps__probes="false")
-            for index in range(GATEWAYS)
+            make_policy((), index, me=str(index), peers_total=str(GATEWAY_COUNT), caps__probes="false")
+            for index in range(GATEWAY_COUNT)
         ]
 
     def handle(self, gateway: int, now: float, event: Event) -> None:
@@ -158,7 +158,7 @@
     def run(self) -> ForwardedCounts:
         """Handle all arrivals and timers; return the requests that were forwarded."""
         request_id = 0
-        for step in range(int(SECONDS / TICK_SECONDS)):
+        for step in range(int(DURATION_SECONDS / TICK_SECONDS)):
             now = START + (step + 1) * TICK_SECONDS
             self.counter.set_time(now)
             while request_id < len(self.arrivals) and self.arrivals[request_id].time < now:
--- a/tests/policy/test_lease_sizing.py
+++ b/tests/policy/test_lease_sizing.py
@@ -14,7 +14,7 @@
 )
 
 DEMAND = 16.0  # units in a refill time
-OPTIMUM = math.log(math.sqrt(2 * DEMAND / 0.5))  # ln of the optimal batch size at MIN_STRANDING_COST
+OPTIMAL_LOG_BATCH_SIZE = math.log(math.sqrt(2 * DEMAND / 0.5))  # at MIN_STRANDING_COST
 
 
 @pytest.mark.parametrize("start", [pytest.param(0.1, id="from-below"), pytest.param(2.0, id="from-near")])
@@ -23,8 +23,8 @@
     policy.handle(START, make_request(1))
     lease = only_lease(policy)
     lease.sizer.log_batch_size = start
-    before = abs(lease.sizer.log_batch_size - OPTIMUM)
+    before = abs(lease.sizer.log_batch_size - OPTIMAL_LOG_BATCH_SIZE)
     for _ in range(200):
         lease.usage.served_units = DEMAND
         lease.update_batch_size(policy.context.now)
-    assert abs(lease.sizer.log_batch_size - OPTIMUM) < min(before, 0.1)
+    assert abs(lease.sizer.log_batch_size - OPTIMAL_LOG_BATCH_SIZE) < min(before, 0.1)
