--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -16,9 +16,9 @@
 
 INITIAL_LIMIT = 12.0  # attempts in flight at a mean endpoint, of all gateways
 MIN_LIMIT = 4.0  # of the same: an idle core serves nobody
-DEVIATIONS = 0.7  # standard deviations of headroom above the mean: a gateway's load comes unevenly
+HEADROOM_DEVIATIONS = 0.7  # standard deviations of headroom above the mean: a gateway's load comes unevenly
 BACKOFF_FACTOR = 0.85  # on the limit when responses are late
-HEADROOM_ATTEMPTS = 2  # below the limit within which it binds, and may rise
+BINDING_MARGIN_ATTEMPTS = 2  # below the limit within which it binds, and may rise
 MAX_LATE_RATIO = 0.3  # of responses: more than one slow endpoint or costly request brings about
 MEAN_LATENCY_WEIGHT = LATENCY_WEIGHT / 4  # of the newest response in a mean of all endpoints
 LATE_WEIGHT = LATENCY_WEIGHT / 2  # of the newest outcome in the ratio of late responses
@@ -36,8 +36,8 @@
         latency: Mean latency of responses, in seconds.
         class_latency: The same by class index, as the work differs by class.
         reported_load: Mean load of the endpoints that report.
-        loaded_latency: Latency of recent responses, in seconds.
-        observed_load: Load of the endpoints that recent responses came from.
+        recent_latency: Latency of recent responses, in seconds.
+        recent_load: Load of the endpoints that recent responses came from.
     """
 
     def __init__(self, context: Context, endpoints: EndpointTable) -> None:
@@ -52,8 +52,8 @@
         self.latency = MovingAverage(INITIAL_LATENCY_SECONDS, MEAN_LATENCY_WEIGHT)
         self.class_latency = [MovingAverage(INITIAL_LATENCY_SECONDS, MEAN_LATENCY_WEIGHT) for _ in classes]
         self.reported_load = MovingAverage(0.0, REPORT_WEIGHT)
-        self.loaded_latency = MovingAverage(INITIAL_LATENCY_SECONDS, LATENCY_WEIGHT)
-        self.observed_load = MovingAverage(INITIAL_LOAD, LATENCY_WEIGHT)
+        self.recent_latency = MovingAverage(INITIAL_LATENCY_SECONDS, LATENCY_WEIGHT)
+        self.recent_load = MovingAverage(INITIAL_LOAD, LATENCY_WEIGHT)
 
     @property
     def late_ratio(self) -> float:
@@ -78,10 +78,10 @@
         if self.context.random.random() > 2 - self.utilization():
             return False
         mean_limit = self.concurrency_limit * len(self.endpoints.ready)
-        limit = mean_limit + DEVIATIONS * math.sqrt(mean_limit)
-        return self.endpoints.in_flight - self._hanging_attempts() < limit
+        limit = mean_limit + HEADROOM_DEVIATIONS * math.sqrt(mean_limit)
+        return self.endpoints.in_flight - self._count_hung_attempts() < limit
 
-    def _hanging_attempts(self) -> int:
+    def _count_hung_attempts(self) -> int:
         started_before = self.context.now - OUTLIER_FACTOR * self.mean_latency
         hanging = takewhile(started_before.__gt__, self.endpoints.started_at.values())  # oldest first
         return len(list(hanging))
@@ -98,7 +98,7 @@
     def _raise_limit(self) -> None:
         """Raise the limit if it binds: by one attempt of all gateways when as many responses have come."""
         ready_count = len(self.endpoints.ready)
-        if self.endpoints.in_flight + HEADROOM_ATTEMPTS >= self.concurrency_limit * ready_count:
+        if self.endpoints.in_flight + BINDING_MARGIN_ATTEMPTS >= self.concurrency_limit * ready_count:
             step = 1 / (self.concurrency_limit * max(1, ready_count))
             self.concurrency_limit += step / self.context.gateway_count
 
@@ -122,8 +122,8 @@
 
     def record_response(self, load_report: LoadReport, class_index: int, latency: float) -> None:
         """Record a successful response, its latency in seconds, and the load of its endpoint."""
-        self.loaded_latency.record(latency)
-        self.observed_load.record(self.estimated_load(load_report))
+        self.recent_latency.record(latency)
+        self.recent_load.record(self.estimated_load(load_report))
         self.latency.record(latency)
         self.class_latency[class_index].record(latency)
 
@@ -135,6 +135,4 @@
         """Return the latency to expect at the reported load, as a fraction of the target."""
         if "inflight" not in self.context.settings.report_columns:
             return 0.0  # latency does not follow from a queue length alone
-        return (
-            self.loaded_latency.value / self.observed_load.value * (1 + self.mean_load) / self.latency_target
-        )
+        return self.recent_latency.value / self.recent_load.value * (1 + self.mean_load) / self.latency_target
--- a/gateway/policy/dispatch_queue.py
+++ b/gateway/policy/dispatch_queue.py
@@ -28,12 +28,12 @@
         """Queue a request."""
         self.waiting.append(pending)
 
-    def take_all(self) -> list[PendingRequest]:
+    def pop_all(self) -> list[PendingRequest]:
         """Remove all requests and return them by priority, those of one priority as they were queued."""
         waiting = self.waiting
         self.waiting = []
         return sorted(waiting, key=PRIORITY, reverse=True)
 
-    def drop_closed(self) -> None:
+    def remove_closed(self) -> None:
         """Remove the requests that are answered or whose clients are gone."""
         self.waiting = [pending for pending in self.waiting if not pending.closed]
--- a/gateway/policy/endpoint_scorer.py
+++ b/gateway/policy/endpoint_scorer.py
@@ -61,7 +61,7 @@
     def _is_eligible(self, endpoint: Endpoint, latency: float, capacity_fraction: float) -> bool:
         """Return whether an endpoint has capacity and is not one that the request was just sent to."""
         in_flight = len(endpoint.in_flight)
-        if in_flight and in_flight >= self._limit_at(latency):
+        if in_flight and in_flight >= self._in_flight_limit(latency):
             return False
         if endpoint.record.endpoint_id in self.excluded_ids:
             return False
@@ -70,7 +70,7 @@
         budget = endpoint.slow_start_budget
         return self.slow_start.allows_attempt(budget, capacity_fraction, self.subset_size, self.ready_count)
 
-    def _limit_at(self, latency: float) -> float:
+    def _in_flight_limit(self, latency: float) -> float:
         """Return the attempts in flight that this gateway may have at an endpoint of that latency."""
         if latency <= self.fast_latency:
             return self.max_in_flight
@@ -81,6 +81,6 @@
         reported = 1 + endpoint.load_report.estimate(self.now, self.mean_load)
         load = len(endpoint.in_flight) + 1 + REPORT_WEIGHT * reported
         detector = endpoint.outlier_detector
-        if detector.silent_classes and detector.is_silent(self.class_index, self.now):
+        if detector.unresponsive_classes and detector.is_unresponsive(self.class_index, self.now):
             load *= EJECTION_FACTOR
         return load
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -48,7 +48,7 @@
         return self.state is EndpointState.READY
 
     @property
-    def may_be_forgotten(self) -> bool:
+    def is_removable(self) -> bool:
         """Whether it is gone from the list and has no attempt in flight."""
         return self.state is EndpointState.GONE and not self.in_flight
 
@@ -114,7 +114,7 @@
         ready = [endpoint for endpoint in self.by_id.values() if endpoint.is_ready]
         self.ready = sorted(ready, key=RING_ORDER)  # cheaper than one insertion for each endpoint
         for endpoint in list(self.by_id.values()):
-            self._forget_if_gone(endpoint)
+            self._remove_if_gone(endpoint)
 
     def _apply_delta(self, records: tuple[EndpointRecord, ...], initial_latency: float) -> None:
         """Apply the records of the endpoints that have changed, at a cost that follows from their number."""
@@ -127,7 +127,7 @@
             elif was_ready and not endpoint.is_ready:
                 self._remove_from_ready(endpoint)
         for endpoint_id in {record.endpoint_id for record in records}:
-            self._forget_if_gone(self.by_id[endpoint_id])
+            self._remove_if_gone(self.by_id[endpoint_id])
 
     def _apply_record(self, record: EndpointRecord, initial_latency: float) -> Endpoint:
         endpoint = self.by_id.get(record.endpoint_id)
@@ -135,9 +135,9 @@
             endpoint = Endpoint(record, stable_hash(record.endpoint_id))
             self.by_id[record.endpoint_id] = endpoint
         has_restarted = record.started_at > endpoint.record.started_at
-        if has_restarted or not endpoint.slow_start_budget.has_begun:
+        if has_restarted or not endpoint.slow_start_budget.is_initialized:
             endpoint.outlier_detector.reset(initial_latency, self.context.now)
-            self.slow_start.begin_budget(endpoint.slow_start_budget)
+            self.slow_start.reset_budget(endpoint.slow_start_budget)
         endpoint.update_record(record)
         self._update_state(endpoint, record.state)
         return endpoint
@@ -155,8 +155,8 @@
         if index < len(self.ready) and self.ready[index] is endpoint:
             del self.ready[index]
 
-    def _forget_if_gone(self, endpoint: Endpoint) -> None:
-        if endpoint.may_be_forgotten:
+    def _remove_if_gone(self, endpoint: Endpoint) -> None:
+        if endpoint.is_removable:
             del self.by_id[endpoint.record.endpoint_id]  # ids are never used again
 
     def update_subset(self) -> None:
@@ -190,5 +190,5 @@
             return None
         if endpoint.is_ready:
             self.in_flight -= 1
-        self._forget_if_gone(endpoint)
+        self._remove_if_gone(endpoint)
         return Attempt(endpoint, started_at)
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -19,13 +19,13 @@
 from gateway.policy.pending_request import PendingRequest
 from gateway.policy.retries import Retries
 from gateway.policy.slow_start import SlowStart
-from gateway.policy.tick_timer import WATCH_SECONDS, TickTimer
+from gateway.policy.tick_timer import SLOW_TICK_SECONDS, TickTimer
 
 if TYPE_CHECKING:
     from gateway.policy.settings import Settings
 
 TIMER_TOKEN = 1  # the policy has one timer
-MAX_UNSENT = 3  # queued requests that find no endpoint, after which the rest stays queued
+MAX_DISPATCH_FAILURES = 3  # queued requests that find no endpoint, after which the rest stays queued
 MIN_TIME_REMAINING_SECONDS = DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS  # of a request that may be served
 
 
@@ -108,7 +108,7 @@
         )
         self.admission.open(pending)
         self.pending[request.request_id] = pending
-        self.load_balancer.probe()
+        self.load_balancer.probe_if_due()
         if request.time_remaining < MIN_TIME_REMAINING_SECONDS:
             self._reject(pending, 0.0)
         else:
@@ -171,8 +171,8 @@
         """Dispatch the queued requests, by priority, until a few have found no endpoint."""
         if not self.queue or not self.concurrency_limiter.has_capacity():
             return
-        for pending in self.queue.take_all():
-            if len(self.queue) > MAX_UNSENT:
+        for pending in self.queue.pop_all():
+            if len(self.queue) > MAX_DISPATCH_FAILURES:
                 self.queue.add(pending)
             else:
                 self._dispatch(pending)
@@ -224,11 +224,11 @@
     def _on_timer(self) -> None:
         self._give_up_late_requests()
         self.admission.retry_deferred_leases()
-        self.queue.drop_closed()
+        self.queue.remove_closed()
         self._dispatch_queued()
         self._replace_stalled_attempts()
         if self.context.now >= self.reclaim_at:
-            self.reclaim_at = self.context.now + WATCH_SECONDS
+            self.reclaim_at = self.context.now + SLOW_TICK_SECONDS
             self.leases.reclaim_idle_credits()
 
     def _give_up_late_requests(self) -> None:
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -39,8 +39,8 @@
         self.limiter = limiter
         settings = context.settings
         reports_load = not LOAD_COLUMNS.isdisjoint(settings.report_columns)
-        probes_help = settings.report_mode == "pull" and reports_load
-        self.next_probe_at = 0.0 if probes_help and settings.limits.may_probe else math.inf
+        probes_are_useful = settings.report_mode == "pull" and reports_load
+        self.next_probe_at = 0.0 if probes_are_useful and settings.limits.may_probe else math.inf
 
     def choose(self, pending: PendingRequest, allowed: list[Endpoint]) -> Endpoint | None:
         """Return the best allowed endpoint, of the subset if any will do; None without capacity."""
@@ -145,7 +145,7 @@
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             detector.eject(mean_latency)  # it is down, whatever the endpoint list says
 
-    def probe(self) -> None:
+    def probe_if_due(self) -> None:
         """Ask a random endpoint for its load, as often as keeps a pool of reports recent."""
         now = self.context.now
         ready = self.endpoints.ready
--- a/gateway/policy/moving_average.py
+++ b/gateway/policy/moving_average.py
@@ -27,7 +27,7 @@
         self.value = value
 
 
-def decay(since: float, now: float, time_constant: float) -> float:
+def decay_factor(since: float, now: float, time_constant: float) -> float:
     """Return the factor by which an observation made at `since` has decayed `now`; all in seconds."""
     return math.exp((since - now) / time_constant)
 
@@ -48,9 +48,9 @@
 
     def rate(self, now: float) -> float:
         """Return the events a second that the sum stands for now."""
-        return self.value * decay(self.updated_at, now, self.time_constant) / self.time_constant
+        return self.value * decay_factor(self.updated_at, now, self.time_constant) / self.time_constant
 
     def record(self, now: float) -> None:
         """Count one event."""
-        self.value = self.value * decay(self.updated_at, now, self.time_constant) + 1
+        self.value = self.value * decay_factor(self.updated_at, now, self.time_constant) + 1
         self.updated_at = now
--- a/gateway/policy/outlier_detector.py
+++ b/gateway/policy/outlier_detector.py
@@ -1,7 +1,7 @@
-"""Outlier detection: an endpoint's latency, its failures, and the classes that it leaves without a response.
+"""Outlier detection: an endpoint's latency, its failures, and the classes to which it does not respond.
 
-An outlier is not ejected for a fixed time.  Its latency, or its load for one class, counts for more, so that
-other endpoints are preferred until it has faded.
+An outlier is not ejected for a fixed time.  Its expected latency, or its load for one class, is raised, so
+that other endpoints are preferred until that penalty has expired.
 """
 
 from __future__ import annotations
@@ -10,68 +10,69 @@
 from typing import TYPE_CHECKING
 
 from gateway.policy.context import DECAY_SECONDS, LATENCY_WEIGHT
-from gateway.policy.moving_average import MovingAverage, decay
+from gateway.policy.moving_average import MovingAverage, decay_factor
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 INITIAL_LATENCY_SECONDS = 0.3  # assumed before the first response
-OUTLIER_FACTOR = 2.5  # on the mean latency, from which an endpoint is slow and an attempt is hanging
-EJECTION_FACTOR = 8.0  # on the mean latency, for a failed connection; on the load, for a silent class
-SILENCE_LIFETIME_SECONDS = 2 * DECAY_SECONDS  # for which an endpoint is avoided for a silent class
+OUTLIER_FACTOR = 2.5  # multiple of the mean latency at which an endpoint is an outlier and an attempt is hung
+EJECTION_FACTOR = 8.0  # raises the latency after a failed connection, and the load for an unresponsive class
+UNRESPONSIVE_LIFETIME_SECONDS = 2 * DECAY_SECONDS  # time for which the load for that class stays raised
 
 
 def initial_latency_average() -> MovingAverage:
-    """Return the average latency in seconds of an endpoint that has not responded yet."""
+    """Return a latency average in seconds for an endpoint that has not responded yet."""
     return MovingAverage(INITIAL_LATENCY_SECONDS, LATENCY_WEIGHT)
 
 
 @dataclass(slots=True, eq=False)
 class OutlierDetector:
-    """What the outcomes of one endpoint's attempts say of it.
+    """Detects from the outcomes of one endpoint's attempts whether it is slow, failing or unresponsive.
 
     Attributes:
-        latency: Average latency in seconds; failures count as slow.
-        last_response_at: Unix time of its last successful response, in seconds.
-        last_response_by_class: The same by class index.
-        last_outcome_at: Unix time at which an attempt last ended there, in seconds.
-        silent_classes: When each class index was last found without a response, in seconds of Unix time.
+        latency: Average latency in seconds; a failure counts as a slow response.
+        last_response_at: Unix time of the endpoint's last successful response, in seconds.
+        last_response_by_class: Unix time of its last successful response to each class, by class index.
+        last_outcome_at: Unix time at which an attempt at this endpoint last ended, in seconds.
+        unresponsive_classes: Unix time in seconds at which the endpoint was last found not to respond to
+            a class, by class index.
     """
 
     latency: MovingAverage = field(default_factory=initial_latency_average)
     last_response_at: float = 0.0
     last_response_by_class: dict[int, float] = field(default_factory=dict)
     last_outcome_at: float = 0.0
-    silent_classes: dict[int, float] = field(default_factory=dict)
+    unresponsive_classes: dict[int, float] = field(default_factory=dict)
 
     def reset(self, latency: float, now: float) -> None:
-        """Begin again with an assumed latency, for an endpoint that has started."""
+        """Set the average to an assumed latency in seconds, because the endpoint has started or restarted."""
         self.latency.reset(latency)
         self.last_response_at = now
 
     def record_outcome(self, latency: float, now: float) -> None:
-        """Record that an attempt has ended, with its latency in seconds."""
+        """Record the latency in seconds of an attempt that has ended."""
         self.last_outcome_at = now
         self.latency.record(latency)
 
     def record_response(self, class_index: int, now: float) -> None:
         """Record a successful response to a request of a class."""
-        self.silent_classes.pop(class_index, None)
+        self.unresponsive_classes.pop(class_index, None)
         self.last_response_at = now
         self.last_response_by_class[class_index] = now
 
     def eject(self, mean_latency: float) -> None:
-        """Make other endpoints preferred at once, as a connection to this one has failed."""
+        """Raise the latency, so that other endpoints are preferred, because a connection has failed."""
         self.latency.reset(max(self.latency.value, EJECTION_FACTOR * mean_latency))
 
     def is_outlier(self, mean_latency: float) -> bool:
-        """Return whether this endpoint is much slower than the mean of all."""
+        """Return whether this endpoint is much slower than the mean of all endpoints."""
         return self.latency.value >= OUTLIER_FACTOR * mean_latency
 
     def expected_latency(self, now: float, mean_latency: float, started_at: Iterable[float]) -> float:
-        """Return the latency in seconds to expect: at least the time for which attempts got no response.
+        """Return the latency in seconds to expect: at least the time for which attempts have had no response.
 
-        A latency above the mean fades to it while no attempt ends there.
+        While no attempt ends at this endpoint, a latency above the mean decays towards the mean.
 
         Args:
             now: Unix time in seconds.
@@ -80,34 +81,34 @@
         """
         latency = self.latency.value
         if latency > mean_latency:
-            fade = decay(self.last_outcome_at, now, DECAY_SECONDS)
-            faded = mean_latency + (latency - mean_latency) * fade
-            if faded < latency:
-                latency = faded
-        silent_since = next(iter(started_at), now)
-        if silent_since < self.last_response_at:
-            silent_since = self.last_response_at
-        silence = now - silent_since
-        return silence if silence > latency else latency
+            factor = decay_factor(self.last_outcome_at, now, DECAY_SECONDS)
+            decayed = mean_latency + (latency - mean_latency) * factor
+            if decayed < latency:
+                latency = decayed
+        waiting_since = next(iter(started_at), now)
+        if waiting_since < self.last_response_at:
+            waiting_since = self.last_response_at
+        waiting_time = now - waiting_since
+        return waiting_time if waiting_time > latency else latency
 
-    def detect_silence(self, class_index: int, started_at: float, longest: float, now: float) -> bool:
-        """Record, and return, whether requests of a class have got no response for too long.
+    def detect_unresponsive(self, class_index: int, started_at: float, timeout: float, now: float) -> bool:
+        """Return, and record, whether the endpoint has not responded to a class for longer than the timeout.
 
-        Silence is recorded by class, as responses to the other classes would hide it.
+        Each class is recorded separately: responses to other classes would hide that one gets none.
 
         Args:
-            class_index: Class of the request.
+            class_index: Index of the request's class.
             started_at: Unix time at which an attempt of the class started, in seconds.
-            longest: Seconds after which the endpoint counts as silent.
+            timeout: Seconds without a response after which the endpoint counts as unresponsive.
             now: Unix time in seconds.
         """
         last_response_at = self.last_response_by_class.get(class_index, 0.0)
-        silent = now - max(started_at, last_response_at) >= longest
-        if silent:
-            self.silent_classes[class_index] = now
-        return silent
-
-    def is_silent(self, class_index: int, now: float) -> bool:
-        """Return whether requests of a class were left without a response lately."""
-        marked_at = self.silent_classes.get(class_index)
-        return marked_at is not None and now - marked_at < SILENCE_LIFETIME_SECONDS
+        unresponsive = now - max(started_at, last_response_at) >= timeout
+        if unresponsive:
+            self.unresponsive_classes[class_index] = now
+        return unresponsive
+
+    def is_unresponsive(self, class_index: int, now: float) -> bool:
+        """Return whether the endpoint was recently found not to respond to a class."""
+        detected_at = self.unresponsive_classes.get(class_index)
+        return detected_at is not None and now - detected_at < UNRESPONSIVE_LIFETIME_SECONDS
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -25,7 +25,7 @@
         in_flight: The attempts in flight, by attempt number.
         tried_endpoints: Ids of the endpoints that its attempts went to, in order.
         attempts_started: Attempts so far; the next attempt's number.
-        executed: Finished attempts that may have had an effect.
+        possibly_executed: Finished attempts that may have had an effect.
         closed: Whether it is answered, or its client is gone.
     """
 
@@ -37,7 +37,7 @@
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     tried_endpoints: list[int] = field(default_factory=list)
     attempts_started: int = 0
-    executed: list[Attempt] = field(default_factory=list)
+    possibly_executed: list[Attempt] = field(default_factory=list)
     closed: bool = False
 
     @property
@@ -55,12 +55,12 @@
         """Remove an attempt that has finished, and return it; None where it is not in flight."""
         attempt = self.in_flight.pop(number, None)
         if attempt is not None and not never_ran:
-            self.executed.append(attempt)
+            self.possibly_executed.append(attempt)
         return attempt
 
     def first_effective_attempt(self) -> Attempt | None:
         """Return the earliest attempt that has had an effect or may have one; None without any."""
-        attempts = [*self.in_flight.values(), *self.executed]
+        attempts = [*self.in_flight.values(), *self.possibly_executed]
         return min(attempts, key=attrgetter("started_at"), default=None)
 
     def close(self) -> None:
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -1,4 +1,4 @@
-"""Whether and where a request gets another attempt: retries, hedged requests, the budget for both."""
+"""Decides whether and where a request gets another attempt: retries, and hedged requests within a budget."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
     from gateway.policy.load_balancer import LoadBalancer
     from gateway.policy.pending_request import PendingRequest
 
-SILENT_LATENCIES = 6.0  # mean latencies of a class, after which an endpoint without a response is silent
-LOST_LATENCIES = 10.0  # the same, after which an attempt is lost at an endpoint that responds to others
-BACKOFF_BASE = 2.0  # on both, for each attempt that the request has had before
-BUDGET_PER_REQUEST = 0.1  # attempts in place of stalled ones, for each first attempt
-INITIAL_BUDGET = 1.0  # attempts in place of stalled ones
-MAX_BUDGET = 10.0  # the same, that may be saved up
+# Both waits are multiples of the mean latency of the request's class.
+UNRESPONSIVE_LATENCIES = 6.0  # without any response to the class: the endpoint counts as unresponsive
+LOST_ATTEMPT_LATENCIES = 10.0  # without a response to one attempt, while others get theirs: it counts as lost
+BACKOFF_BASE = 2.0  # factor on both waits for each earlier attempt of the request
+BUDGET_PER_REQUEST = 0.1  # replacements of stalled attempts that each first attempt adds to the budget
+INITIAL_BUDGET = 1.0  # replacements of stalled attempts
+MAX_BUDGET = 10.0  # replacements of stalled attempts that may be saved up
 DEDUP_DOMAINS = {DedupScope.CELL: attrgetter("cell"), DedupScope.ZONE: attrgetter("zone")}
 
 
 class Retries:
-    """Decides on further attempts; the engine starts them.
+    """Decides on further attempts of a request; the engine starts them.
 
     Attributes:
-        budget: Attempts that may be started in place of stalled ones.
+        budget: Stalled attempts that may be replaced, by a hedged request or by a cancellation and a retry.
     """
 
     def __init__(
@@ -46,12 +47,12 @@
         self.budget = INITIAL_BUDGET
 
     def record_first_attempt(self) -> None:
-        """Add a part of an attempt to the budget."""
+        """Add the share of a request's first attempt to the budget."""
         self.budget = min(MAX_BUDGET, self.budget + BUDGET_PER_REQUEST)
 
     def may_retry(self, pending: PendingRequest) -> bool:
-        """Return whether a request may get another attempt, in time before its deadline."""
-        # The margin of a tick is for an attempt that timed out at the deadline, perhaps a little early.
+        """Return whether a request may get another attempt, early enough before its deadline."""
+        # An attempt that times out at the deadline may be reported slightly early, hence the tick of margin.
         latest = pending.deadline - DEADLINE_MARGIN_SECONDS - TICK_SECONDS
         if self.context.now >= latest or not self._has_attempts_left(pending):
             return False
@@ -61,7 +62,7 @@
         return pending.attempts_started < self.limits.max_attempts
 
     def allowed_endpoints(self, pending: PendingRequest) -> list[Endpoint]:
-        """Return the endpoints that the rules allow for a request's next attempt."""
+        """Return the endpoints at which the effect of the request's class allows its next attempt."""
         ready = self.endpoints.ready
         request_class = pending.request_class
         if request_class.effect is Effect.IDEMPOTENT:
@@ -73,30 +74,33 @@
             return []
         if request_class.dedup_scope is DedupScope.ALL:
             return ready
-        domain = DEDUP_DOMAINS[request_class.dedup_scope]
-        first_domain = domain(first.endpoint.record)
-        return [endpoint for endpoint in ready if domain(endpoint.record) == first_domain]
+        domain_of = DEDUP_DOMAINS[request_class.dedup_scope]
+        first_domain = domain_of(first.endpoint.record)
+        return [endpoint for endpoint in ready if domain_of(endpoint.record) == first_domain]
 
     def _is_key_forgotten(self, pending: PendingRequest, first: Attempt) -> bool:
-        """Return whether a retry might arrive, after a wait for a connection, when its key is forgotten."""
+        """Return whether a retry might arrive after the endpoints have forgotten its idempotency key.
+
+        The retry may first have to wait for a connection, for up to the connect timeout.
+        """
         latest = first.started_at + pending.request_class.dedup_window - DEADLINE_MARGIN_SECONDS
         latest -= self.limits.connect_timeout
         return self.context.now > latest
 
     def is_rejection_safe(self, pending: PendingRequest) -> bool:
-        """Return whether a client that is told to retry can do no harm."""
+        """Return whether the client may safely retry, so that a rejection is correct instead of a failure."""
         if pending.in_flight:
             return False
         effect = pending.request_class.effect
-        if not pending.executed or effect is Effect.IDEMPOTENT:
+        if not pending.possibly_executed or effect is Effect.IDEMPOTENT:
             return True
         scope = pending.request_class.dedup_scope
         return effect is Effect.IDEMPOTENT_WITH_KEY and scope is DedupScope.ALL
 
     def replace_stalled_attempt(self, pending: PendingRequest) -> Endpoint | None:
-        """Return the endpoint for a hedged request if a request's only attempt has stalled, else None.
+        """Return the endpoint for a hedged request if the only attempt in flight has stalled, else None.
 
-        Where hedged requests are not allowed, the attempt is cancelled; a retry follows when it has ended.
+        Where hedged requests are not allowed, the attempt is cancelled instead; its end triggers a retry.
         """
         ((number, attempt),) = pending.in_flight.items()
         if not self._is_stalled(pending, attempt) or self.budget < 1:
@@ -112,15 +116,19 @@
         return None
 
     def _is_stalled(self, pending: PendingRequest, attempt: Attempt) -> bool:
-        """Return whether an attempt is lost or its endpoint silent, and another one may still be in time."""
+        """Return whether an attempt has stalled and another one may still meet the latency objective.
+
+        An attempt has stalled if its endpoint is unresponsive, or after a wait that makes it count as lost.
+        """
         now = self.context.now
         class_index = pending.request.class_index
         latency = self.limiter.class_latency[class_index].value
         detector = attempt.endpoint.outlier_detector
-        silent = detector.detect_silence(class_index, attempt.started_at, SILENT_LATENCIES * latency, now)
-        factor = SILENT_LATENCIES if silent else LOST_LATENCIES
-        wait = factor * latency * BACKOFF_BASE ** (pending.attempts_started - 1)
-        if now - attempt.started_at < wait:
+        timeout = UNRESPONSIVE_LATENCIES * latency
+        unresponsive = detector.detect_unresponsive(class_index, attempt.started_at, timeout, now)
+        factor = UNRESPONSIVE_LATENCIES if unresponsive else LOST_ATTEMPT_LATENCIES
+        stall_timeout = factor * latency * BACKOFF_BASE ** (pending.attempts_started - 1)
+        if now - attempt.started_at < stall_timeout:
             return False
         objective_at = pending.arrived_at + pending.request_class.latency_objective
         return now + latency <= objective_at and self._has_attempts_left(pending)
--- a/gateway/policy/slow_start.py
+++ b/gateway/policy/slow_start.py
@@ -23,11 +23,11 @@
     bucket: TokenBucket = field(default_factory=TokenBucket)
 
     @property
-    def has_begun(self) -> bool:
+    def is_initialized(self) -> bool:
         """Whether the endpoint has had a budget before."""
         return self.bucket.updated_at != 0.0
 
-    def begin(self, tokens: float, now: float) -> None:
+    def reset(self, tokens: float, now: float) -> None:
         """Begin again with a number of attempts, for an endpoint that has started."""
         self.bucket.reset(tokens, now)
 
@@ -59,9 +59,9 @@
         initial = self.rules.cold_capacity_fraction
         return initial + (1 - initial) * max(0.0, age) / duration
 
-    def begin_budget(self, budget: SlowStartBudget) -> None:
+    def reset_budget(self, budget: SlowStartBudget) -> None:
         """Begin an endpoint's budget with less than an attempt, at random: gateways must not send at once."""
-        budget.begin(self.context.random.random(), self.context.now)
+        budget.reset(self.context.random.random(), self.context.now)
 
     def allows_attempt(
         self, budget: SlowStartBudget, capacity_fraction: float, subset_size: int, ready_count: int
--- a/gateway/policy/tick_timer.py
+++ b/gateway/policy/tick_timer.py
@@ -7,8 +7,8 @@
 
 from gateway.policy.context import EPSILON, TICK_SECONDS
 
-WATCH_TICKS = 2  # ticks between two timers while all requests have attempts in flight
-WATCH_SECONDS = WATCH_TICKS * TICK_SECONDS
+SLOW_TICK_FACTOR = 2  # ticks between two timers while all requests have attempts in flight
+SLOW_TICK_SECONDS = SLOW_TICK_FACTOR * TICK_SECONDS
 MIN_DELAY_SECONDS = EPSILON  # a driver may round a timer down a little
 
 
@@ -29,7 +29,7 @@
             now: Unix time in seconds.
             waiting: Whether a request waits, so that the next tick may let it go on.
         """
-        due = now + (TICK_SECONDS if waiting else WATCH_SECONDS)
+        due = now + (TICK_SECONDS if waiting else SLOW_TICK_SECONDS)
         if now + MIN_DELAY_SECONDS < self.due <= due:
             return None
         self.due = due
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -53,7 +53,7 @@
                 known.update_state(EndpointState.GONE)
         for record in update.records:
             self._apply(record, initial_latency)
-        gone = [endpoint for endpoint in self.by_id.values() if endpoint.may_be_forgotten]
+        gone = [endpoint for endpoint in self.by_id.values() if endpoint.is_removable]
         for endpoint in gone:
             del self.by_id[endpoint.record.endpoint_id]
         ready = [endpoint for endpoint in self.by_id.values() if endpoint.is_ready]
@@ -68,9 +68,9 @@
             endpoint = Endpoint(record, stable_hash(record.endpoint_id))
             self.by_id[record.endpoint_id] = endpoint
         budget = endpoint.slow_start_budget
-        if record.started_at > endpoint.record.started_at or not budget.has_begun:
+        if record.started_at > endpoint.record.started_at or not budget.is_initialized:
             endpoint.outlier_detector.reset(initial_latency, now)
-            budget.begin(self.context.random.random(), now)
+            budget.reset(self.context.random.random(), now)
         endpoint.update_record(record)
         endpoint.update_state(record.state)
 
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -86,9 +86,9 @@
     detector = policy.endpoints.by_id[attempt.endpoint_id].outlier_detector
     detector.last_response_at = START + 2.0
     detector.last_outcome_at = START + 2.0
-    assert 0 in detector.silent_classes
-    assert 1 not in detector.silent_classes
+    assert 0 in detector.unresponsive_classes
+    assert 1 not in detector.unresponsive_classes
     (later,) = started_attempts(policy.handle(START + 2.5, make_request(2)))
     assert later.endpoint_id != attempt.endpoint_id
     policy.handle(START + 2.6, make_finished(1, attempt, Outcome.OK, closed=True))
-    assert not detector.silent_classes
+    assert not detector.unresponsive_classes
--- a/tests/policy/test_moving_average.py
+++ b/tests/policy/test_moving_average.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gateway.policy.moving_average import DecayingSum, MovingAverage, decay
+from gateway.policy.moving_average import DecayingSum, MovingAverage, decay_factor
 
 TIME_CONSTANT = 5.0  # seconds
 
@@ -24,8 +24,8 @@
 
 
 def test_an_observation_decays_by_the_factor_e_in_a_time_constant() -> None:
-    assert decay(100.0, 100.0, TIME_CONSTANT) == 1.0
-    assert decay(100.0, 100.0 + TIME_CONSTANT, TIME_CONSTANT) == pytest.approx(math.exp(-1))
+    assert decay_factor(100.0, 100.0, TIME_CONSTANT) == 1.0
+    assert decay_factor(100.0, 100.0 + TIME_CONSTANT, TIME_CONSTANT) == pytest.approx(math.exp(-1))
 
 
 def test_the_rate_of_steady_events_is_found() -> None:
--- a/tests/policy/test_tick_timer.py
+++ b/tests/policy/test_tick_timer.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from gateway.policy.context import TICK_SECONDS
-from gateway.policy.tick_timer import MIN_DELAY_SECONDS, WATCH_SECONDS, TickTimer
+from gateway.policy.tick_timer import MIN_DELAY_SECONDS, SLOW_TICK_SECONDS, TickTimer
 from tests.support.policy import START
 
 
 def test_a_timer_is_due_after_a_tick_while_a_request_waits() -> None:
     assert TickTimer().schedule(START, waiting=True) == START + TICK_SECONDS
-    assert TickTimer().schedule(START, waiting=False) == START + WATCH_SECONDS
+    assert TickTimer().schedule(START, waiting=False) == START + SLOW_TICK_SECONDS
 
 
 def test_a_timer_that_is_set_in_time_is_not_set_again() -> None:
