--- a/gateway/policy/endpoint_scorer.py
+++ b/gateway/policy/endpoint_scorer.py
@@ -1,4 +1,4 @@
-"""The score of an endpoint for an attempt: its expected latency under its load, if it has capacity."""
+"""Scores the endpoints for an attempt, by their expected latency and load; the lowest score is the best."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
     from gateway.policy.endpoints import Endpoint
     from gateway.policy.slow_start import SlowStart
 
-JITTER_DIVISOR = 20  # a score rises by up to 1 / 20 at random, or equal gateways would choose alike
+JITTER_DIVISOR = 20  # random jitter of up to 1 / 20 of a score keeps gateways from all choosing alike
 
 
 @dataclass(slots=True, eq=False)
 class EndpointScorer:
-    """Scores the candidates for one attempt; it holds what is the same for all of them.
+    """Scores the candidate endpoints for one attempt, with the inputs that all candidates share.
 
     Attributes:
         now: Unix time in seconds.
         random: Returns a random number from 0 to 1.
-        slow_start: Which candidates are warming up, and what they may get.
-        class_index: Class of the request.
-        excluded_ids: Endpoints that the request's last attempts went to.
-        max_in_flight: Attempts that this gateway may have in flight at a fast endpoint of its subset.
+        slow_start: Tells which candidates are warming up, and whether their budgets allow an attempt.
+        class_index: Index of the request's class.
+        excluded_ids: Ids of the endpoints that the request's latest attempts were sent to.
+        max_in_flight: Attempts that this gateway may have in flight at a fast endpoint.
         mean_latency: Mean latency of all endpoints, in seconds.
         fast_latency: Latency up to which an endpoint counts as fast, in seconds.
-        mean_load: Mean load of all endpoints, as reported.
-        subset_size: Endpoints in the gateway's subset.
-        ready_count: Endpoints that are ready.
+        mean_load: Mean load of the endpoints that report.
+        subset_size: Number of endpoints in the gateway's subset.
+        ready_count: Number of ready endpoints.
     """
 
     now: float
@@ -49,7 +49,7 @@
     ready_count: int
 
     def score(self, endpoint: Endpoint) -> float:
-        """Return the expected latency in seconds times the load; infinite without capacity."""
+        """Return the expected latency in seconds times the expected load, or infinity if not eligible."""
         capacity_fraction = self.slow_start.capacity_fraction(endpoint.record.started_at)
         started_at = endpoint.in_flight.values()
         latency = endpoint.outlier_detector.expected_latency(self.now, self.mean_latency, started_at)
@@ -59,7 +59,7 @@
         return latency * self._expected_load(endpoint) * (1 + self.random() / JITTER_DIVISOR)
 
     def _is_eligible(self, endpoint: Endpoint, latency: float, capacity_fraction: float) -> bool:
-        """Return whether an endpoint has capacity and is not one that the request was just sent to."""
+        """Return whether an endpoint has capacity and is not excluded for this request."""
         in_flight = len(endpoint.in_flight)
         if in_flight and in_flight >= self._in_flight_limit(latency):
             return False
@@ -71,13 +71,13 @@
         return self.slow_start.allows_attempt(budget, capacity_fraction, self.subset_size, self.ready_count)
 
     def _in_flight_limit(self, latency: float) -> float:
-        """Return the attempts in flight that this gateway may have at an endpoint of that latency."""
+        """Return the attempts that this gateway may have in flight at an endpoint with the given latency."""
         if latency <= self.fast_latency:
             return self.max_in_flight
         return self.max_in_flight * (self.fast_latency / latency)
 
     def _expected_load(self, endpoint: Endpoint) -> float:
-        """Return the attempts at an endpoint, with this one and those of other gateways as reported."""
+        """Return an endpoint's load from this gateway's attempts, this one included, and its load report."""
         reported = 1 + endpoint.load_report.estimate(self.now, self.mean_load)
         load = len(endpoint.in_flight) + 1 + REPORT_WEIGHT * reported
         detector = endpoint.outlier_detector
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The table of endpoints, those that are ready in ring order, and the gateway's subset of them."""
+"""The table of all endpoints, the ready endpoints in ring order, and the gateway's subset of these."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gateway.policy.slow_start import SlowStart, SlowStartBudget
 from gateway.policy.subsetting import choose_subset
 
-SUBSET_LIFETIME_SECONDS = DECAY_SECONDS / 4  # of a subset with warming endpoints, which come on top
+SUBSET_LIFETIME_SECONDS = DECAY_SECONDS / 4  # of a subset with endpoints that are warming up
 RING_ORDER = attrgetter("ring_position")
 
 AttemptKey = tuple[int, int]  # request id, attempt number
@@ -22,16 +22,16 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """An endpoint as it is listed, and this gateway's attempts at it.
+    """An endpoint of the endpoint list, and what this gateway knows about it from its own attempts.
 
     Attributes:
-        record: Its newest record in the endpoint list.
-        ring_position: Its place among the endpoints, the same at every gateway.
-        state: Its state in the endpoint list.
-        in_flight: Unix time at which each attempt in flight started, in seconds; oldest first.
-        outlier_detector: What the outcomes of its attempts say of it.
-        load_report: The load that it has reported.
-        slow_start_budget: The attempts that it may get while it warms up.
+        record: The endpoint's newest record in the endpoint list.
+        ring_position: Hash of the endpoint's id; it orders the endpoints alike at every gateway.
+        state: The endpoint's state in the endpoint list.
+        in_flight: Unix time in seconds at which each attempt in flight started, oldest first.
+        outlier_detector: Tracks whether the endpoint is slow, failing or unresponsive.
+        load_report: The load that the endpoint reported last.
+        slow_start_budget: The attempts that this gateway may start at the endpoint while it warms up.
     """
 
     record: EndpointRecord
@@ -44,20 +44,20 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint list offers it for new attempts."""
+        """Whether the endpoint list allows new attempts at the endpoint."""
         return self.state is EndpointState.READY
 
     @property
     def is_removable(self) -> bool:
-        """Whether it is gone from the list and has no attempt in flight."""
+        """Whether the endpoint is gone from the endpoint list and has no attempt in flight."""
         return self.state is EndpointState.GONE and not self.in_flight
 
     def update_record(self, record: EndpointRecord) -> None:
-        """Replace its record, though not its state."""
+        """Replace the record, but not the state."""
         self.record = record
 
     def update_state(self, state: EndpointState) -> None:
-        """Replace its state."""
+        """Replace the state."""
         self.state = state
 
     def start_attempt(self, key: AttemptKey, now: float) -> None:
@@ -65,7 +65,7 @@
         self.in_flight[key] = now
 
     def finish_attempt(self, key: AttemptKey) -> float | None:
-        """Remove an attempt and return when it started; None where it is not in flight here."""
+        """Remove an attempt; return the Unix time of its start, or None if it is not in flight here."""
         return self.in_flight.pop(key, None)
 
 
@@ -74,8 +74,8 @@
     """An attempt at an endpoint.
 
     Attributes:
-        endpoint: Where it went.
-        started_at: Unix time of its start, in seconds.
+        endpoint: The endpoint that the attempt was sent to.
+        started_at: Unix time at which the attempt started, in seconds.
     """
 
     endpoint: Endpoint
@@ -90,14 +90,19 @@
         self.slow_start = slow_start
         self.by_id: dict[int, Endpoint] = {}
         self.ready: list[Endpoint] = []  # in ring order
-        self.subset: list[Endpoint] = []  # of the ready ones, those that this gateway sends to
+        self.subset: list[Endpoint] = []  # the ready endpoints that this gateway prefers, in ring order
         self.subset_ids: frozenset[int] = frozenset()
         self.subset_expires_at = math.inf
         self.in_flight = 0  # attempts in flight at ready endpoints
-        self.started_at: dict[AttemptKey, float] = {}  # of all attempts in flight, oldest first
+        self.started_at: dict[AttemptKey, float] = {}  # start of each attempt in flight, oldest first
 
     def apply_update(self, update: EndpointUpdate, initial_latency: float) -> None:
-        """Apply an update of the endpoint list; endpoints that have started get the initial latency."""
+        """Apply an update of the endpoint list.
+
+        Args:
+            update: The update.
+            initial_latency: Latency in seconds to assume for endpoints that have started or restarted.
+        """
         if update.kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT):
             self._apply_snapshot(update.records, initial_latency)
         else:
@@ -112,15 +117,15 @@
         for record in records:
             self._apply_record(record, initial_latency)
         ready = [endpoint for endpoint in self.by_id.values() if endpoint.is_ready]
-        self.ready = sorted(ready, key=RING_ORDER)  # cheaper than one insertion for each endpoint
+        self.ready = sorted(ready, key=RING_ORDER)  # one sort costs less than an insertion per endpoint
         for endpoint in list(self.by_id.values()):
             self._remove_if_gone(endpoint)
 
     def _apply_delta(self, records: tuple[EndpointRecord, ...], initial_latency: float) -> None:
-        """Apply the records of the endpoints that have changed, at a cost that follows from their number."""
+        """Apply the records of endpoints that have changed, without a walk over the whole table."""
         for record in records:
-            known = self.by_id.get(record.endpoint_id)
-            was_ready = known is not None and known.is_ready
+            existing = self.by_id.get(record.endpoint_id)
+            was_ready = existing is not None and existing.is_ready
             endpoint = self._apply_record(record, initial_latency)
             if endpoint.is_ready and not was_ready:
                 bisect.insort(self.ready, endpoint, key=RING_ORDER)
@@ -157,10 +162,13 @@
 
     def _remove_if_gone(self, endpoint: Endpoint) -> None:
         if endpoint.is_removable:
-            del self.by_id[endpoint.record.endpoint_id]  # ids are never used again
+            del self.by_id[endpoint.record.endpoint_id]  # endpoint ids are never reused
 
     def update_subset(self) -> None:
-        """Choose the subset; it expires where some of its endpoints are warming up."""
+        """Choose the subset.
+
+        A subset with warming endpoints expires: as they become warm, they count towards its size.
+        """
         index = self.context.settings.gateway_index
         positions = choose_subset(len(self.ready), self._is_warm, index, self.context.gateway_count)
         all_warm = all(self._is_warm(position) for position in positions)
@@ -172,7 +180,7 @@
         return self.slow_start.capacity_fraction(self.ready[position].record.started_at) >= 1
 
     def start_attempt(self, endpoint: Endpoint, key: AttemptKey) -> Attempt:
-        """Count an attempt at a ready endpoint."""
+        """Record the start of an attempt at a ready endpoint."""
         now = self.context.now
         endpoint.start_attempt(key, now)
         self.started_at[key] = now
@@ -180,7 +188,7 @@
         return Attempt(endpoint, now)
 
     def finish_attempt(self, endpoint_id: int, key: AttemptKey) -> Attempt | None:
-        """Stop counting an attempt and return it; None where it is not in flight at this endpoint."""
+        """Record the end of an attempt and return it, or None if it is not in flight at this endpoint."""
         self.started_at.pop(key, None)
         endpoint = self.by_id.get(endpoint_id)
         if endpoint is None:
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -1,4 +1,4 @@
-"""The policy of one gateway.  Settings, events, actions: gateway/policy/{settings,events,actions}.py."""
+"""The policy of one gateway.  Its types are defined in gateway/policy/{settings,events,actions}.py."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     from gateway.policy.settings import Settings
 
 TIMER_TOKEN = 1  # the policy has one timer
-MAX_DISPATCH_FAILURES = 3  # queued requests that find no endpoint, after which the rest stays queued
-MIN_TIME_REMAINING_SECONDS = DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS  # of a request that may be served
+MAX_DISPATCH_FAILURES = 3  # a pass over the queue ends when more requests than this find no endpoint
+MIN_TIME_REMAINING_SECONDS = DEADLINE_MARGIN_SECONDS + 2 * TICK_SECONDS  # with less, a request is rejected
 
 
 class Policy:
-    """Decides for one gateway; `handle` is the only way in.
+    """Decides what one gateway does with its requests; `handle` is the only entry point.
 
     Attributes:
-        pending: Requests that are not answered or have attempts in flight, by request id.
+        pending: Requests that are unanswered or have attempts in flight, by request id.
         queue: Admitted requests that wait for an endpoint with capacity.
         requests_in_flight: Pending requests that have attempts in flight.
-        timer: The timer that is set.
-        reclaim_at: Unix time from which idle credits are reclaimed again, in seconds.
+        timer: Schedules the policy's timer.
+        reclaim_at: Unix time of the next reclaim of idle credits, in seconds.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -71,11 +71,11 @@
 
     @property
     def actions(self) -> list[Action]:
-        """The actions that answer the last event, as far as it was handled."""
+        """The actions emitted so far for the latest event."""
         return self.context.actions
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
-        """Return the actions that answer one event, in order; `now` is Unix time in seconds."""
+        """Handle an event; return the actions to execute, in order.  `now` is Unix time in seconds."""
         self.context.begin_event(now)
         match event:
             case events.Request():
@@ -148,7 +148,7 @@
         if not self.retries.may_retry(pending):
             self._give_up(pending)
         elif self.concurrency_limiter.late_ratio > MAX_LATE_RATIO:
-            self.queue.add(pending)  # what an overloaded endpoint rejected waits for a tick
+            self.queue.add(pending)  # under overload, a retry takes its turn with the queued requests
         else:
             self._dispatch(pending)
 
@@ -156,7 +156,7 @@
         """Send an admitted request to the best endpoint, or queue it while none has capacity."""
         if pending.closed:
             return
-        # Credit under a ceiling expires while queued too, or queued requests would pass the ceiling together.
+        # A credit under a ceiling also expires in the queue; else queued requests could exceed the ceiling.
         credit_may_expire = pending.plan.ceiling_rate != 0 and pending.attempts_started == 0
         if credit_may_expire and self.admission.drop_expired_credit(pending):
             self.admission.admit(pending)
@@ -168,7 +168,7 @@
             self.queue.add(pending)
 
     def _dispatch_queued(self) -> None:
-        """Dispatch the queued requests, by priority, until a few have found no endpoint."""
+        """Dispatch the queued requests by priority; stop when a few have found no endpoint."""
         if not self.queue or not self.concurrency_limiter.has_capacity():
             return
         for pending in self.queue.pop_all():
@@ -190,22 +190,22 @@
         self.context.actions.append(StartAttempt(request_id, endpoint.record.endpoint_id, timeout=0.0))
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """Answer a request that gets no further attempt: by a rejection where a retry does no harm."""
+        """Reject a request that gets no further attempt, or fail it if its client could not retry safely."""
         if self.retries.is_rejection_safe(pending):
-            # After a mean latency, about as many attempts have ended as are in flight now.
+            # Within one mean latency, about as many attempts end as are in flight now.
             self._reject(pending, self.concurrency_limiter.mean_latency)
         else:
             self._close(pending)
             self.context.actions.append(Fail(pending.request.request_id))
 
     def _reject(self, pending: PendingRequest, retry_after: float) -> None:
-        """Answer a request with a rejection that tells after how many seconds to retry."""
+        """Reject a request, and tell its client after how many seconds to retry."""
         self._close(pending)
         retry_after = min(max(0.0, retry_after), self.context.settings.limits.max_retry_after)
         self.context.actions.append(Reject(pending.request.request_id, retry_after))
 
     def _close(self, pending: PendingRequest) -> None:
-        """Start nothing more for a request; forget it once none of its attempts is in flight."""
+        """Close a request to further attempts; remove it if none of its attempts is in flight."""
         request_id = pending.request.request_id
         if not pending.in_flight and request_id in self.pending:
             del self.pending[request_id]
@@ -213,7 +213,7 @@
         pending.close()
 
     def _set_timer(self) -> None:
-        """Set a timer only while there is something to wait for: idle gateways cost nothing."""
+        """Set the timer while requests are pending or credits reclaimable; an idle gateway needs none."""
         if not self.pending and not self.leases.reclaimable:
             return
         waiting = self.requests_in_flight < len(self.pending) or len(self.queue) > 0
@@ -232,7 +232,7 @@
             self.leases.reclaim_idle_credits()
 
     def _give_up_late_requests(self) -> None:
-        """Answer requests whose deadline is near, and those that would start behind their objective."""
+        """Give up requests near their deadline, and those whose first attempt would miss the objective."""
         now = self.context.now
         mean_latency = self.concurrency_limiter.mean_latency
         for pending in [pending for pending in self.pending.values() if not pending.in_flight]:
@@ -243,8 +243,8 @@
 
     def _replace_stalled_attempts(self) -> None:
         requests = self.pending.values()
-        single = [pending for pending in requests if not pending.closed and len(pending.in_flight) == 1]
-        for pending in single:
+        replaceable = [pending for pending in requests if not pending.closed and len(pending.in_flight) == 1]
+        for pending in replaceable:
             endpoint = self.retries.replace_stalled_attempt(pending)
             if endpoint is not None:
                 self._start_attempt(pending, endpoint)
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to, what its outcome says of the endpoint, and probes for load reports."""
+"""Chooses an endpoint for each attempt, records the outcomes of attempts, and probes for load reports."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     from gateway.policy.slow_start import SlowStart
 
 MAX_CANDIDATES = 12  # endpoints compared for an attempt
-SUBSET_LIMIT_FACTOR = 2  # on the mean limit of attempts in flight, for one endpoint of the subset
-FAST_LATENCY_FACTOR = 1.5  # on the mean latency, up to which an endpoint gets its full limit of attempts
-EXCLUDED_ATTEMPTS = 2  # a request's next attempt avoids the endpoints of this many before it
-FAILED_LATENCY_FACTOR = 2  # on the mean latency, which a failed attempt counts as at the least
-PROBE_POOL_SIZE = 8  # load reports kept recent where they must be asked for
+SUBSET_LIMIT_FACTOR = 2  # one endpoint may have this multiple of its even share of the attempts in flight
+FAST_LATENCY_FACTOR = 1.5  # up to this multiple of the mean latency, an endpoint gets its full limit
+EXCLUDED_ATTEMPTS = 2  # a request's next attempt avoids the endpoints of this many attempts before it
+FAILED_LATENCY_FACTOR = 2  # a failed attempt counts with at least this multiple of the mean latency
+PROBE_POOL_SIZE = 8  # load reports that probes keep recent, where reports do not come with responses
 PROBE_PERIOD_SECONDS = REPORT_LIFETIME_SECONDS / PROBE_POOL_SIZE
-LOAD_COLUMNS = frozenset({"inflight", "queue", "util"})  # of a report; without one probes are of no use
+LOAD_COLUMNS = frozenset({"inflight", "queue", "util"})  # a report without any of them states no load
 
 
 class LoadBalancer:
-    """Chooses the endpoint with the least expected latency, and records the outcomes of attempts."""
+    """Chooses the endpoint with the best score, and records the outcomes of attempts."""
 
     def __init__(
         self, context: Context, endpoints: EndpointTable, slow_start: SlowStart, limiter: ConcurrencyLimiter
@@ -43,7 +43,7 @@
         self.next_probe_at = 0.0 if probes_are_useful and settings.limits.may_probe else math.inf
 
     def choose(self, pending: PendingRequest, allowed: list[Endpoint]) -> Endpoint | None:
-        """Return the best allowed endpoint, of the subset if any will do; None without capacity."""
+        """Return the best allowed endpoint, from the subset if possible; None if none has capacity."""
         if not self.limiter.has_capacity():
             return None
         endpoints = self.endpoints
@@ -52,7 +52,7 @@
         if self.context.now >= endpoints.subset_expires_at:
             endpoints.update_subset()
         best = self.best_of(pending, self._in_subset(allowed))
-        if best is None:  # only now are all endpoints looked at, as that costs what the table holds
+        if best is None:  # a walk through all endpoints is slow in a large table, so it is the last resort
             best = self.best_of(pending, self._warm_outside_subset(allowed))
         return best
 
@@ -63,7 +63,10 @@
         return [endpoint for endpoint in allowed if endpoint.record.endpoint_id in subset_ids]
 
     def _warm_outside_subset(self, allowed: list[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints outside the subset; those that warm up are in enough subsets as it is."""
+        """Return the allowed endpoints outside the subset, without those that are warming up.
+
+        Endpoints that are warming up are in the subsets of enough other gateways.
+        """
         subset_ids = self.endpoints.subset_ids
         capacity_fraction = self.slow_start.capacity_fraction
         return [
@@ -74,7 +77,10 @@
         ]
 
     def best_of(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
-        """Return the candidate with the lowest score, of a random sample if there are many."""
+        """Return the candidate with the lowest score, from a random sample if there are many.
+
+        Returns None if no candidate has capacity.
+        """
         if len(candidates) > MAX_CANDIDATES:
             candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
         scorer = self._scorer_for(pending)
@@ -91,14 +97,14 @@
         subset_size = len(self.endpoints.subset)
         ready_count = len(self.endpoints.ready)
         mean_latency = self.limiter.mean_latency
-        mean_limit = SUBSET_LIMIT_FACTOR * self.limiter.concurrency_limit
+        endpoint_limit = SUBSET_LIMIT_FACTOR * self.limiter.concurrency_limit
         return EndpointScorer(
             now=self.context.now,
             random=self.context.random.random,
             slow_start=self.slow_start,
             class_index=pending.request.class_index,
             excluded_ids=pending.tried_endpoints[-EXCLUDED_ATTEMPTS:],
-            max_in_flight=mean_limit * ready_count / max(1, subset_size),
+            max_in_flight=endpoint_limit * ready_count / max(1, subset_size),
             mean_latency=mean_latency,
             fast_latency=FAST_LATENCY_FACTOR * mean_latency,
             mean_load=self.limiter.mean_load,
@@ -107,7 +113,7 @@
         )
 
     def record_result(self, attempt: Attempt, event: AttemptFinished, pending: PendingRequest | None) -> None:
-        """Record what an attempt's outcome says of its endpoint, and of the load of all."""
+        """Update the endpoint's load report and outlier detector, and the limiter, from an outcome."""
         outcome = event.outcome
         if outcome in (Outcome.CANCELLED, Outcome.NOT_STARTED):
             return
@@ -123,7 +129,10 @@
         self.limiter.record_outcome(late=late, typical=typical)
 
     def _record_success(self, attempt: Attempt, pending: PendingRequest | None) -> bool:
-        """Record a response, to a request that is None if it was closed; return whether it was late."""
+        """Record a successful response; return whether it was late.
+
+        A response to a request that is no longer pending counts as in time, as its class is unknown.
+        """
         now = self.context.now
         latency = now - attempt.started_at
         detector = attempt.endpoint.outlier_detector
@@ -143,10 +152,10 @@
         detector = attempt.endpoint.outlier_detector
         detector.record_outcome(latency, now)
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            detector.eject(mean_latency)  # it is down, whatever the endpoint list says
+            detector.eject(mean_latency)  # the endpoint is down, even if the endpoint list says it is ready
 
     def probe_if_due(self) -> None:
-        """Ask a random endpoint for its load, as often as keeps a pool of reports recent."""
+        """Probe a random endpoint for its load report, if a probe period has passed since the last probe."""
         now = self.context.now
         ready = self.endpoints.ready
         if not ready or now < self.next_probe_at:
