--- a/gateway/config/parser.py
+++ b/gateway/config/parser.py
@@ -23,7 +23,7 @@
 MIN_MEMORY_MEGABYTES = 16.0
 
 
-def load_config(env: Mapping[str, str], *, again: bool = False) -> Config:
+def load_config(env: Mapping[str, str], *, is_reload: bool = False) -> Config:
     """Return the configuration in the file that NODE_CONFIG names; `again` as for `parse_config`.
 
     Raises:
@@ -37,10 +37,10 @@
             text = source.read()
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"cannot read the configuration: {error}") from None
-    return parse_config(text, env, again=again)
+    return parse_config(text, env, is_reload=is_reload)
 
 
-def parse_config(text: str, env: Mapping[str, str], *, again: bool = False) -> Config:
+def parse_config(text: str, env: Mapping[str, str], *, is_reload: bool = False) -> Config:
     """Return the configuration that the text of a file and the environment give.
 
     Variables of the environment take precedence over the file.  NODE_DISCOVERY does so only when the file is
@@ -56,7 +56,7 @@
     return Config(
         name=env.get(keys.NAME_VARIABLE) or root.required(keys.NAME, str),
         listen=_listen_address(root, env),
-        discovery=_discovery_address(root, env, again=again),
+        discovery=_discovery_address(root, env, is_reload=is_reload),
         counter=_counter_address(root, settings),
         seed=root.required(keys.SEED, _hexadecimal),
         resource_limits=_resource_limits(root.section(keys.LIMITS)),
@@ -82,9 +82,9 @@
     return root.required(keys.LISTEN, parse_address)
 
 
-def _discovery_address(root: Section, env: Mapping[str, str], *, again: bool) -> Address:
+def _discovery_address(root: Section, env: Mapping[str, str], *, is_reload: bool) -> Address:
     address_at_start = env.get(keys.DISCOVERY_VARIABLE)
-    if again:
+    if is_reload:
         address = root.optional(keys.DISCOVERY, address_at_start)
         return root.convert(keys.DISCOVERY, address, parse_address)
     if address_at_start:
@@ -110,7 +110,7 @@
     if not MIN_MEMORY_MEGABYTES <= memory_mb < float("inf"):
         path = f"{keys.LIMITS}.{keys.MEMORY_MEGABYTES}"
         raise InvalidValueError(path, f"under {MIN_MEMORY_MEGABYTES:g}: {memory_mb:g}")
-    return ResourceLimits.of(sockets, memory_mb)
+    return ResourceLimits.from_process_limits(sockets, memory_mb)
 
 
 def _max_request_units(extra: Section) -> float:
--- a/gateway/config/resource_limits.py
+++ b/gateway/config/resource_limits.py
@@ -16,26 +16,26 @@
     """What the process may hold at a time.
 
     Attributes:
-        max_clients: Client connections that are served.
-        surplus_clients: Further client connections that only get a rejection.
-        max_upstream: Connections to endpoints.
+        max_client_connections: Client connections that are served.
+        surplus_client_connections: Further client connections that only get a rejection.
+        max_upstream_connections: Connections to endpoints.
         max_buffered_bytes: Bytes of request bodies.
     """
 
-    max_clients: int
-    surplus_clients: int
-    max_upstream: int
+    max_client_connections: int
+    surplus_client_connections: int
+    max_upstream_connections: int
     max_buffered_bytes: int
 
     @classmethod
-    def of(cls, sockets: int, memory_mb: float) -> ResourceLimits:
+    def from_process_limits(cls, sockets: int, memory_mb: float) -> ResourceLimits:
         """Divide `sockets` descriptors and `memory_mb` megabytes of memory among the parts of the process."""
-        surplus_clients = max(MIN_SURPLUS_CLIENTS, int(sockets * SURPLUS_CLIENTS_FRACTION))
-        available = sockets - RESERVED_SOCKETS - surplus_clients
-        max_clients = available // 2
+        surplus_client_connections = max(MIN_SURPLUS_CLIENTS, int(sockets * SURPLUS_CLIENTS_FRACTION))
+        available = sockets - RESERVED_SOCKETS - surplus_client_connections
+        max_client_connections = available // 2
         return cls(
-            max_clients=max_clients,
-            surplus_clients=surplus_clients,
-            max_upstream=available - max_clients,
+            max_client_connections=max_client_connections,
+            surplus_client_connections=surplus_client_connections,
+            max_upstream_connections=available - max_client_connections,
             max_buffered_bytes=int(memory_mb * BODY_MEMORY_FRACTION * BYTES_PER_MEGABYTE),
         )
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -53,11 +53,11 @@
     def _make_connections(self, address: Address) -> list[CounterConnection]:
         return [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
 
-    def add(self, request: AddToCounter) -> None:
+    def add_to_counter(self, request: AddToCounter) -> None:
         """Send an addition; its reply comes through `on_reply`, perhaps before this method returns."""
         connection = self.connections[request.name % CONNECTION_COUNT]
         call = CounterCall(request, time.monotonic(), connection, self.on_reply)
-        connection.add(call)
+        connection.submit(call)
         if not call.is_settled:
             self.call_expiry.schedule(call)
 
--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -94,7 +94,7 @@
         assert state in NEXT_STATES[self.state], f"{self.state} to {state}"
         self.state = state
 
-    def add(self, call: CounterCall) -> None:
+    def submit(self, call: CounterCall) -> None:
         """Write a call, or queue it while the connection is being opened; settle it at once otherwise."""
         if len(self.calls) >= MAX_PENDING_CALLS:
             call.settle(Outcome.OVERLOADED)
--- a/gateway/driver/action_executor.py
+++ b/gateway/driver/action_executor.py
@@ -92,7 +92,7 @@
         if self.counter is None:
             self._deliver(CounterReply(action.name, Outcome.CONNECT_FAILED, total=0.0, elapsed=0.0))
         else:
-            self.counter.add(action)
+            self.counter.add_to_counter(action)
 
     def _probe(self, action: Probe) -> None:
         endpoint_id = action.endpoint_id
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -31,7 +31,9 @@
     def __init__(self, config: Config, driver: PolicyDriver) -> None:
         limits = config.resource_limits
         self.address = config.listen
-        self.connection_table = ConnectionTable(limits.max_clients, limits.surplus_clients)
+        self.connection_table = ConnectionTable(
+            limits.max_client_connections, limits.surplus_client_connections
+        )
         self.budget = RequestBudget(limits.max_buffered_bytes)
         self.socket_server: asyncio.Server | None = None
         self._driver = driver
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -101,7 +101,7 @@
         self.driver.apply_endpoint_update(update, addresses)
 
     def _load_again(self, env: Mapping[str, str]) -> Config:
-        config = load_config(env, again=True)
+        config = load_config(env, is_reload=True)
         if config.settings.has_counter != self.config.settings.has_counter:
             raise ConfigError("extra.has_counter: can be changed only by a restart")
         return config
@@ -112,7 +112,7 @@
         config.settings.limits.connect_timeout,
         config.endpoint_idle_timeout,
         config.settings.report_columns,
-        config.resource_limits.max_upstream,
+        config.resource_limits.max_upstream_connections,
     )
 
 
--- a/tests/counter/test_call_pipeline.py
+++ b/tests/counter/test_call_pipeline.py
@@ -8,7 +8,7 @@
 from gateway.counter.call_pipeline import CallPipeline
 from gateway.counter.errors import MalformedReplyError
 from gateway.policy.events import CounterReply, Outcome
-from tests.support.counter import make_add
+from tests.support.counter import make_add_action
 
 
 class Carrier:
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def call(replies: list[CounterReply]) -> CounterCall:
-    return CounterCall(make_add(), 0.0, Carrier(), replies.append)
+    return CounterCall(make_add_action(), 0.0, Carrier(), replies.append)
 
 
 def test_a_call_is_settled_once(call: CounterCall, replies: list[CounterReply]) -> None:
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -7,7 +7,7 @@
 from gateway.address import parse_address
 from gateway.counter.client import CONNECTION_COUNT
 from gateway.policy.events import Outcome
-from tests.support.counter import LONG_TIMEOUT_SECONDS, counting, make_add
+from tests.support.counter import LONG_TIMEOUT_SECONDS, counting, make_add_action
 from tests.support.event_loop import async_test
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_server import Handler, listening
@@ -18,8 +18,8 @@
     server = FakeCounter()
     async with counting(server.handle) as counter:
         for amount in (4.0, -1.5, 0.0):
-            counter.client.add(make_add(9, amount))
-        counter.client.add(make_add(10, expires_after=90.0))
+            counter.client.add_to_counter(make_add_action(9, amount))
+        counter.client.add_to_counter(make_add_action(10, expires_after=90.0))
         await counter.until_replies(4)
         assert [reply.total for reply in counter.replies if reply.name == 9] == [4.0, 2.5, 2.5]
         assert all(outcome is Outcome.OK for outcome in counter.outcomes)
@@ -50,11 +50,11 @@
     ):
         client = counter.client
         await client.ready
-        client.add(make_add(8, 5.0))
+        client.add_to_counter(make_add_action(8, 5.0))
         client.change_address(parse_address(new_address))
-        client.add(make_add(8, 6.0))  # the old connection is used until the new one is open
+        client.add_to_counter(make_add_action(8, 6.0))  # the old connection is used until the new one is open
         await counter.until_moved()
-        client.add(make_add(8, 7.0))
+        client.add_to_counter(make_add_action(8, 7.0))
         await asyncio.sleep(0)
         assert not counter.replies
         assert not new_server.calls
@@ -73,5 +73,5 @@
         await counter.until_open()
         counter.client.change_address(parse_address("127.0.0.1:1"))
         counter.client.change_address(parse_address("127.0.0.1:2"))
-        reply = await counter.add(make_add())
+        reply = await counter.add_and_wait(make_add_action())
         assert reply.outcome is Outcome.OK
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -20,7 +20,7 @@
     client_of,
     counting,
     is_open,
-    make_add,
+    make_add_action,
     never_reply,
 )
 from tests.support.event_loop import async_test, until
@@ -35,10 +35,10 @@
 
 async def check_that_the_second_call_succeeds(counter: CounterSetUp) -> None:
     """Let a first call time out as its connection is lost, and a second one go over a new connection."""
-    first_reply = await counter.add(make_add(8))
+    first_reply = await counter.add_and_wait(make_add_action(8))
     assert first_reply.outcome is Outcome.TIMEOUT
     await until(lambda: is_open(counter.first_connection))
-    second_reply = await counter.add(make_add(8))
+    second_reply = await counter.add_and_wait(make_add_action(8))
     assert second_reply.outcome is Outcome.OK
 
 
@@ -52,8 +52,8 @@
 @async_test
 async def test_a_rejected_call_leaves_the_connection_in_use(reply: bytes) -> None:
     async with counting(counter_with_first_reply(reply).handle) as counter:
-        counter.client.add(make_add())
-        counter.client.add(make_add())
+        counter.client.add_to_counter(make_add_action())
+        counter.client.add_to_counter(make_add_action())
         await counter.until_replies(2)
         assert counter.outcomes == [Outcome.OVERLOADED, Outcome.OK]
 
@@ -79,11 +79,11 @@
 @async_test
 async def test_a_reply_without_a_total_ends_its_connection(reply: bytes) -> None:
     async with counting(counter_with_first_reply(reply).handle, LONG_TIMEOUT_SECONDS) as counter:
-        counter.client.add(make_add())
-        counter.client.add(make_add())
+        counter.client.add_to_counter(make_add_action())
+        counter.client.add_to_counter(make_add_action())
         await counter.until_replies(2)
         assert counter.outcomes == [Outcome.TIMEOUT, Outcome.TIMEOUT]
-        third_reply = await counter.add(make_add())
+        third_reply = await counter.add_and_wait(make_add_action())
         assert third_reply.outcome is Outcome.OK
         assert third_reply.total == 3.0
 
@@ -115,12 +115,12 @@
     timeout_seconds = 0.05
     server = LateCounter()
     async with counting(server.handle, timeout_seconds) as counter:
-        first_reply = await counter.add(make_add(8))
+        first_reply = await counter.add_and_wait(make_add_action(8))
         assert first_reply.outcome is Outcome.TIMEOUT
         assert first_reply.elapsed >= timeout_seconds
         counter.client.call_expiry.timeout_seconds = LONG_TIMEOUT_SECONDS
         server.may_reply.set()
-        second_reply = await counter.add(make_add(8, 2.0))
+        second_reply = await counter.add_and_wait(make_add_action(8, 2.0))
         assert second_reply.outcome is Outcome.OK
         assert second_reply.total == 3.0
 
@@ -152,8 +152,8 @@
     async with listening(FakeCounter().handle) as closed_address:
         pass
     async with client_of(closed_address) as counter:
-        await counter.add(make_add(8))  # queued while the connection is attempted
-        await counter.add(make_add(8))  # not queued while it is known to be down
+        await counter.add_and_wait(make_add_action(8))  # queued while the connection is attempted
+        await counter.add_and_wait(make_add_action(8))  # not queued while it is known to be down
         assert counter.outcomes == [Outcome.CONNECT_FAILED] * 2
 
 
@@ -167,7 +167,7 @@
 
     async with counting(handle, timeout_seconds=0.02) as counter:
         await until(lambda: len(opened) == CONNECTION_COUNT)
-        await counter.add(make_add(8))
+        await counter.add_and_wait(make_add_action(8))
         connection = counter.first_connection
         connection.check_liveness(time.monotonic() + REPLY_TIMEOUT_SECONDS / 2)
         assert connection.can_write()
@@ -193,5 +193,5 @@
 async def test_pending_calls_are_bounded() -> None:
     async with counting(never_reply, LONG_TIMEOUT_SECONDS) as counter:
         for _ in range(MAX_PENDING_CALLS + 1):
-            counter.client.add(make_add(8))
+            counter.client.add_to_counter(make_add_action(8))
         assert counter.outcomes == [Outcome.OVERLOADED]
--- a/tests/counter/test_resp.py
+++ b/tests/counter/test_resp.py
@@ -15,7 +15,7 @@
     UnexpectedReply,
     encode_add,
 )
-from tests.support.counter import make_add
+from tests.support.counter import make_add_action
 
 
 @pytest.mark.parametrize(
@@ -29,7 +29,7 @@
 def test_an_addition_is_encoded_with_an_expiry_that_the_counter_accepts(
     expires_after: float, milliseconds: bytes
 ) -> None:
-    command = encode_add(make_add(9, -1.5, expires_after))
+    command = encode_add(make_add_action(9, -1.5, expires_after))
     expected = [b"TALLY", b"9", b"-1.500000", milliseconds]
     assert command == b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in expected)
 
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -13,13 +13,13 @@
     update_json,
 )
 from tests.support.event_loop import async_test, until
-from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_entry
 from tests.support.fake_server import listening
 
 
 @async_test
 async def test_lists_and_changes_reach_the_policy() -> None:
-    line = host_line("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
+    line = host_entry("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
     gone = line | {"health": "Gone"}
     agent = FakeDiscoveryAgent([update_json(42, line, complete=True), b"", update_json(43, gone)])
     async with discovering(agent.handle) as (_, received):
@@ -43,18 +43,18 @@
 # the new agent's complete list is there, whatever its versions, and the old agent is left alone then.
 @async_test
 async def test_a_new_agent_takes_over_with_its_complete_list() -> None:
-    old_agent = FakeDiscoveryAgent(whole=update_json(90, FIRST_ENDPOINT, complete=True))
-    new_agent = GatedAgent(whole=update_json(3, SECOND_ENDPOINT, complete=True))
+    old_agent = FakeDiscoveryAgent(snapshot=update_json(90, FIRST_ENDPOINT, complete=True))
+    new_agent = GatedAgent(snapshot=update_json(3, SECOND_ENDPOINT, complete=True))
     async with (
         listening(new_agent.handle) as new_address,
         discovering(old_agent.handle) as (client, received),
     ):
         await until(lambda: len(old_agent.targets) == 2)
         client.change_address(parse_address(new_address))
-        old_agent.lines.append(update_json(91))
+        old_agent.watch_lines.append(update_json(91))
         await received.until_version(91)
         new_agent.may_serve.set()
-        new_agent.lines.append(update_json(4))
+        new_agent.watch_lines.append(update_json(4))
         await until(lambda: received.last_version == 4 and not old_agent.open)
         assert received.versions == [90, 91, 3, 4]
         assert len(old_agent.targets) == 2
--- a/tests/discovery/test_endpoint_decoder.py
+++ b/tests/discovery/test_endpoint_decoder.py
@@ -11,7 +11,7 @@
 from gateway.discovery.endpoint_decoder import EndpointDecoder, derive_endpoint_id
 from gateway.discovery.errors import DiscoveryError, MalformedEndpointError, MalformedUpdateError
 from tests.support.discovery import FIRST_ENDPOINT, FIRST_ENDPOINT_ID, make_decoder
-from tests.support.fake_discovery import host_line
+from tests.support.fake_discovery import host_entry
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
 # Guards against growth: endpoints are replaced all day by ones of ever new names.
 def test_host_names_of_gone_endpoints_are_forgotten(decoder: EndpointDecoder) -> None:
     for number in range(50):
-        line = host_line(f"s-{number:08x}", "127.0.0.1:81")
+        line = host_entry(f"s-{number:08x}", "127.0.0.1:81")
         decoder.decode_update({"seq": 2 * number, "whole": False, "hosts": [line]})
         decoder.decode_update({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
     assert decoder.host_names == {}
@@ -46,7 +46,7 @@
     decoder: EndpointDecoder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(endpoint_decoder, "derive_endpoint_id", lambda _: 7)
-    hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
+    hosts = [host_entry("one", "127.0.0.1:81"), host_entry("two", "127.0.0.1:82")]
     update, addresses = decoder.decode_update({"seq": 1, "whole": True, "hosts": hosts})
     assert len(update.records) == 1
     assert addresses == {7: Address("127.0.0.1", 81)}
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -50,8 +50,8 @@
 
 async def check_that_the_list_is_fetched_again(agent: FakeDiscoveryAgent, received: ReceivedUpdates) -> None:
     """Check that a complete list comes on a new connection, and that the old one ends then."""
-    agent.lines.clear()
-    agent.whole = update_json(44, SECOND_ENDPOINT, complete=True)
+    agent.watch_lines.clear()
+    agent.snapshot = update_json(44, SECOND_ENDPOINT, complete=True)
     await until(lambda: received.last_version == 44 and agent.open == 1)
     assert [record.endpoint_id for record in received.updates[-1].records] == [SECOND_ENDPOINT_ID]
 
@@ -100,7 +100,7 @@
         assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # descriptors are bounded
         returned_at = time.monotonic()
         cut_off.clear()
-        agent.whole = update_json(42, complete=True)
+        agent.snapshot = update_json(42, complete=True)
         await received.until_version(42)
         # Sooner than an attempt made before its return would have been given up.
         assert time.monotonic() - returned_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
@@ -115,7 +115,7 @@
     agent = PartitionedAgent(lambda: bool(agent.targets))
     async with discovering(agent.handle) as (_, received):
         await until(lambda: agent.attempts)
-        agent.lines.append(update_json(42))
+        agent.watch_lines.append(update_json(42))
         await received.until_version(42)
 
 
@@ -138,8 +138,8 @@
     async with discovering(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) >= 4)
         assert 42 not in received.versions
-        agent.lines.clear()
-        agent.whole = update_json(7, complete=True)
+        agent.watch_lines.clear()
+        agent.snapshot = update_json(7, complete=True)
         await received.until_version(7)
 
 
@@ -161,11 +161,11 @@
     agent = FakeDiscoveryAgent([update_json(44), END_OF_WATCH])
     async with discovering(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
-        agent.lines.clear()
-        agent.whole = update_json(7, FIRST_ENDPOINT, complete=True)
+        agent.watch_lines.clear()
+        agent.snapshot = update_json(7, FIRST_ENDPOINT, complete=True)
         await until(lambda: len(agent.targets) == 4)
         assert agent.targets[3] == "/api/targets?watch=1&from=7"
-        agent.lines += [update_json(7), update_json(8)]  # the first of these is known already
+        agent.watch_lines += [update_json(7), update_json(8)]  # the first of these is known already
         await received.until_version(8)
         assert received.versions == [FIRST_VERSION, 44, 7, 8]
 
@@ -176,7 +176,7 @@
         await until(lambda: len(agent.targets) == 2)
         changed_at = time.monotonic()
         agent.remaining = FAULTY_ATTEMPTS
-        agent.whole = update_json(42, complete=True)
+        agent.snapshot = update_json(42, complete=True)
         await received.until_version(42)
         return time.monotonic() - changed_at
 
@@ -201,7 +201,7 @@
         assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # descriptors are bounded
         returned_at = time.monotonic()
         agent.remaining = 0
-        agent.whole = update_json(42, complete=True)
+        agent.snapshot = update_json(42, complete=True)
         await received.until_version(42)
         return time.monotonic() - returned_at
 
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -8,9 +8,9 @@
 
 from gateway.discovery.json_stream import JsonStream
 from tests.support.discovery import SECOND_ENDPOINT, update_json
-from tests.support.fake_discovery import host_line
+from tests.support.fake_discovery import host_entry
 
-UPDATE = update_json(42, host_line('s-"{[', "127.0.0.1:81"), SECOND_ENDPOINT)
+UPDATE = update_json(42, host_entry('s-"{[', "127.0.0.1:81"), SECOND_ENDPOINT)
 
 
 def feed_in_pieces(text: bytes, size: int) -> list[bytes]:
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -16,7 +16,7 @@
     update_json,
 )
 from tests.support.event_loop import async_test, until
-from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_entry
 from tests.support.http_messages import http_response
 
 if TYPE_CHECKING:
@@ -26,14 +26,14 @@
 class WrittenAgent(FakeDiscoveryAgent):
     """An agent whose watch is a given text, in chunks of a given size in bytes."""
 
-    def __init__(self, whole: bytes, text: bytes, chunk_size: int) -> None:
-        super().__init__(whole=whole)
+    def __init__(self, snapshot: bytes, text: bytes, chunk_size: int) -> None:
+        super().__init__(snapshot=snapshot)
         self.text = text
         self.chunk_size = chunk_size
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(END_OF_HEAD)
-        writer.write(http_response(body=self.whole))
+        writer.write(http_response(body=self.snapshot))
         await reader.readuntil(END_OF_HEAD)
         writer.write(CHUNKED_RESPONSE_HEAD)
         for start in range(0, len(self.text), self.chunk_size):
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("indent", [None, 0, 2])
 @async_test
 async def test_changes_are_read_however_they_are_written(size: int, indent: int | None) -> None:
-    line = host_line('s-"{[', "127.0.0.1:81")
+    line = host_entry('s-"{[', "127.0.0.1:81")
     raw = json.loads(update_json(42, line, line | {"host": "s-00000008"}))
     whole = json.dumps(raw | {"seq": FIRST_VERSION, "whole": True}, indent=1).encode()
     text = json.dumps(raw, indent=indent).encode() + b"\n\n" + json.dumps(raw | {"seq": 43}).encode()
--- a/tests/process/services.py
+++ b/tests/process/services.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_entry
 from tests.support.fake_server import FakeServer, Handler, server_address
 from tests.support.gateway import UNREACHABLE, config_text
 
@@ -25,17 +25,17 @@
     async def hosts(self, endpoints: Sequence[FakeServer | Handler]) -> list[dict[str, Any]]:
         """Start endpoints and return them as an agent lists them."""
         addresses = await self.addresses(endpoints)
-        return [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
+        return [host_entry(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
 
 
 def unreachable_host() -> dict[str, Any]:
     """Return an endpoint that cannot be reached, as an agent lists it."""
-    return host_line("s-00000001", UNREACHABLE)
+    return host_entry("s-00000001", UNREACHABLE)
 
 
 def publish(agent: FakeDiscoveryAgent, version: int, hosts: list[dict[str, Any]]) -> None:
     """Let an agent answer with a snapshot from now on."""
-    agent.whole = json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
+    agent.snapshot = json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
 
 
 def write_config(
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -39,8 +39,8 @@
     env = {"NODE_DISCOVERY": "127.0.0.1:7"}
     text = config_text([], discovery="127.0.0.1:8")
     assert parse_config(text, env).discovery == Address("127.0.0.1", 7)
-    assert parse_config(text, env, again=True).discovery == Address("127.0.0.1", 8)
-    assert parse_config(config_without("discovery"), env, again=True).discovery == Address("127.0.0.1", 7)
+    assert parse_config(text, env, is_reload=True).discovery == Address("127.0.0.1", 8)
+    assert parse_config(config_without("discovery"), env, is_reload=True).discovery == Address("127.0.0.1", 7)
 
 
 @pytest.mark.parametrize(
@@ -127,7 +127,13 @@
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(256, 32), (1024, 192)])
 def test_resource_limits_leave_enough_of_a_small_machine(sockets: int, memory_mb: int) -> None:
     """Clients hold a third of the descriptors for requests, each of which may need an upstream connection."""
-    limits = ResourceLimits.of(sockets, memory_mb)
-    assert min(limits.max_clients, limits.max_upstream) > sockets / 3
-    assert limits.max_clients + limits.surplus_clients + limits.max_upstream + RESERVED_SOCKETS <= sockets
+    limits = ResourceLimits.from_process_limits(sockets, memory_mb)
+    assert min(limits.max_client_connections, limits.max_upstream_connections) > sockets / 3
+    assert (
+        limits.max_client_connections
+        + limits.surplus_client_connections
+        + limits.max_upstream_connections
+        + RESERVED_SOCKETS
+        <= sockets
+    )
     assert limits.max_buffered_bytes <= memory_mb * (1 << 20) / 8
--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -10,16 +10,16 @@
 from gateway.process import GatewayProcess
 from tests.support.discovery import GatedAgent, update_json
 from tests.support.event_loop import async_test, until
-from tests.support.fake_discovery import host_line
+from tests.support.fake_discovery import host_entry
 from tests.support.fake_server import listening
 from tests.support.gateway import make_config
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-CACHED_ENDPOINT = host_line("s-00000001", "127.0.0.1:1")
+CACHED_ENDPOINT = host_entry("s-00000001", "127.0.0.1:1")
 CACHED_ENDPOINT_ID = 1
-PRESENT_ENDPOINT = host_line("s-00000002", "127.0.0.1:2")
+PRESENT_ENDPOINT = host_entry("s-00000002", "127.0.0.1:2")
 PRESENT_ENDPOINT_ID = 2
 MAX_START_SECONDS = 10
 
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -52,10 +52,10 @@
         """Wait until the client has given this many replies in all."""
         await until(lambda: len(self.replies) == count)
 
-    async def add(self, request: AddToCounter) -> CounterReply:
+    async def add_and_wait(self, request: AddToCounter) -> CounterReply:
         """Make an addition, and wait for its reply."""
         count = len(self.replies) + 1
-        self.client.add(request)
+        self.client.add_to_counter(request)
         await self.until_replies(count)
         return self.last_reply
 
@@ -91,7 +91,7 @@
         yield counter
 
 
-def make_add(name: int = 9, amount: float = 1.0, expires_after: float = 4.0) -> AddToCounter:
+def make_add_action(name: int = 9, amount: float = 1.0, expires_after: float = 4.0) -> AddToCounter:
     """Return an addition; those of the names 8 and 9 have connections of their own."""
     return AddToCounter(name, amount, expires_after)
 
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -14,7 +14,7 @@
 from gateway.discovery.client import DiscoveryClient
 from gateway.discovery.endpoint_decoder import EndpointDecoder
 from tests.support.event_loop import until
-from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_entry
 from tests.support.fake_server import Handler, listening
 from tests.support.http_messages import http_response
 
@@ -27,9 +27,9 @@
 CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BLANK_CHUNK = b"1\r\n \r\n"
 END_OF_HEAD = b"\r\n\r\n"
-FIRST_ENDPOINT = host_line("s-00000007", "127.0.0.1:81")
+FIRST_ENDPOINT = host_entry("s-00000007", "127.0.0.1:81")
 FIRST_ENDPOINT_ID = 7
-SECOND_ENDPOINT = host_line("s-00000008", "127.0.0.1:82")
+SECOND_ENDPOINT = host_entry("s-00000008", "127.0.0.1:82")
 SECOND_ENDPOINT_ID = 8
 
 
@@ -87,8 +87,8 @@
 class GatedAgent(FakeDiscoveryAgent):
     """An agent that serves connections once `may_serve` is set."""
 
-    def __init__(self, whole: bytes) -> None:
-        super().__init__(whole=whole)
+    def __init__(self, snapshot: bytes) -> None:
+        super().__init__(snapshot=snapshot)
         self.may_serve = asyncio.Event()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -150,7 +150,7 @@
             case AgentFault.ERROR_STATUS:
                 writer.write(http_response(500))
             case AgentFault.TRUNCATED:
-                writer.write(http_response(body=self.whole)[:-10])
+                writer.write(http_response(body=self.snapshot)[:-10])
             case AgentFault.SLOW:
                 pause_seconds = connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS / 3
                 await respond_without_end(reader, writer, pause_seconds)
@@ -189,7 +189,7 @@
     """An agent that completes its first response, which has an old list, once `may_finish_old` is set."""
 
     def __init__(self, old_list: bytes, new_list: bytes) -> None:
-        super().__init__(whole=new_list)
+        super().__init__(snapshot=new_list)
         self.old_list = old_list
         self.connections = 0
         self.may_finish_old = asyncio.Event()
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -16,31 +16,31 @@
 
 @dataclass
 class FakeDiscoveryAgent(FakeServer):
-    """Discovery: the snapshot, then a watch that gets the lines put into `lines`, one chunk a line."""
+    """Discovery: the snapshot, then a watch that gets the lines put into `watch_lines`, one chunk a line."""
 
-    lines: list[bytes] = field(default_factory=list)
+    watch_lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
-    whole: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
+    snapshot: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer a request for the snapshot and one for a watch."""
         self.targets.append((await read_message(reader)).target)
-        writer.write(http_response(body=self.whole))
+        writer.write(http_response(body=self.snapshot))
         self.targets.append((await read_message(reader)).target)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         ended = asyncio.ensure_future(reader.read())
         sent = 0
         while not ended.done():
-            for line in self.lines[sent:]:
+            for line in self.watch_lines[sent:]:
                 if line == END_OF_WATCH:
-                    self.lines.remove(line)
+                    self.watch_lines.remove(line)
                     return
                 writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
-            sent = len(self.lines)
+            sent = len(self.watch_lines)
             await asyncio.sleep(POLL_SECONDS)
 
 
-def host_line(name: str, dial: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
+def host_entry(name: str, dial: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
     """Return an endpoint as an agent lists it."""
     return {
         "host": name,
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -9,7 +9,7 @@
 
 from gateway.config import Config, parse_config
 from gateway.process import GatewayProcess
-from tests.support.fake_discovery import host_line
+from tests.support.fake_discovery import host_entry
 from tests.support.fake_server import FakeServer, Handler, server_address
 from tests.support.http_client import HttpClient
 from tests.support.policy import BASE
@@ -102,7 +102,7 @@
     """
     async with contextlib.AsyncExitStack() as stack:
         addresses = [await server_address(stack, endpoint) for endpoint in endpoints]
-        known = [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
+        known = [host_entry(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
         counter_address = await server_address(stack, counter)
         process = GatewayProcess(make_config(known, counter_address, **changes))
         process.endpoint_list_timeout = 0.0
