--- a/gateway/counter/__init__.py
+++ b/gateway/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the shared counter service, over RESP2."""
+"""Client of the central counter service, which speaks RESP2."""
--- a/gateway/counter/call.py
+++ b/gateway/counter/call.py
@@ -1,4 +1,4 @@
-"""The calls that the gateway writes to the counter: additions and pings."""
+"""Calls to the counter: additions to a total, and pings."""
 
 from __future__ import annotations
 
@@ -15,62 +15,62 @@
     from gateway.policy.actions import AddToCounter
 
 
-class CallCarrier(Protocol):
-    """The connection that a call is queued for or was written to."""
+class CallConnection(Protocol):
+    """The connection on which a call is queued or was written."""
 
     def expire(self, call: CounterCall) -> None:
-        """End a call that has waited longer than its timeout."""
+        """End a call whose timeout has passed."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """One addition, from its request until its reply has been given to the policy.
+    """One addition, from the policy's action until the reply is delivered to the policy.
 
     Attributes:
-        request: The addition that the policy asked for.
-        started_at: When it asked, by the monotonic clock in seconds.
-        carrier: The connection that is to carry the call, or has carried it.
-        on_reply: Gives the reply to the policy.
-        is_settled: Whether the policy has its reply.
+        action: The addition that the policy requested.
+        started_at: Monotonic time of the action, in seconds.
+        connection: The connection on which the call is queued or was written.
+        on_reply: Delivers the reply to the policy.
+        is_settled: Whether the reply was delivered.
     """
 
-    request: AddToCounter
+    action: AddToCounter
     started_at: float
-    carrier: CallCarrier
+    connection: CallConnection
     on_reply: Callable[[CounterReply], None]
     is_settled: bool = False
 
     def encode(self) -> bytes:
-        """Return the command as the bytes to write."""
-        return resp.encode_add(self.request)
+        """Return the command in RESP2."""
+        return resp.encode_add(self.action)
 
     def settle(self, outcome: Outcome, total: float = 0.0) -> None:
-        """Reply to the policy, unless it already has its reply to this call."""
+        """Deliver the reply to the policy; a call that is already settled is left unchanged."""
         if self.is_settled:
             return
         self.is_settled = True
         elapsed = time.monotonic() - self.started_at
-        self.on_reply(CounterReply(self.request.name, outcome, total, elapsed))
+        self.on_reply(CounterReply(self.action.name, outcome, total, elapsed))
 
-    def move_to(self, carrier: CallCarrier) -> None:
-        """Let another connection carry the call, which must not have been written yet."""
-        self.carrier = carrier
+    def reassign(self, connection: CallConnection) -> None:
+        """Assign a queued call to another connection."""
+        self.connection = connection
 
     def expire(self) -> None:
-        """End the call, as it has waited longer than its timeout."""
-        self.carrier.expire(self)
+        """End the call, as its timeout has passed."""
+        self.connection.expire(self)
 
 
 @dataclass(slots=True, eq=False)
 class Ping:
-    """A call that keeps an idle connection open; nothing waits for its reply."""
+    """A call that keeps an idle connection open; its reply is not delivered to the policy."""
 
     is_settled: ClassVar[bool] = True
 
     def encode(self) -> bytes:
-        """Return the command as the bytes to write."""
+        """Return the command in RESP2."""
         return resp.PING
 
     def settle(self, outcome: Outcome, total: float = 0.0) -> None:
-        """Do nothing: the policy did not ask for this call."""
+        """Do nothing: the policy did not request this call."""
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -1,4 +1,4 @@
-"""The counter as the gateway uses it: additions by name, and the move to another address."""
+"""Client of the counter: sends additions, and moves to a new address of the counter."""
 
 from __future__ import annotations
 
@@ -17,22 +17,23 @@
     from gateway.policy.actions import AddToCounter
     from gateway.policy.events import CounterReply
 
-CONNECTION_COUNT = 4  # the counter accepts 32 of one gateway
-LIVENESS_CHECK_SECONDS = PING_INTERVAL_SECONDS / 2  # between checks of all connections
+CONNECTION_COUNT = 4  # the counter accepts at most 32 connections from one gateway
+LIVENESS_CHECK_SECONDS = PING_INTERVAL_SECONDS / 2  # interval at which all connections are checked
 
 
 class CounterClient:
-    """Adds to counters and calls back with a reply to each addition.
+    """Sends additions to the counter, and passes a reply to each of them to a callback.
 
-    Additions of one name share a connection, so that their replies come in the order of the calls.  The
-    client owns which connections are in use; each connection owns its state and its calls.
+    All additions to one name use the same connection, so that their replies arrive in the order of the calls.
+    The client decides which connections are in use; each connection owns its state and its calls.
 
     Attributes:
-        call_expiry: The timeout of all calls.
+        on_reply: Called with the reply to each addition.
+        call_expiry: Applies the timeout of calls.
         ready: Done once the first attempt to connect has succeeded or failed.
         connections: The connections in use.
-        replacements: Connections to a changed address, each at the index of the one that it replaces once it
-            is open; empty while no change is in progress.
+        replacements: Connections to a changed address, each of which replaces the connection at its index
+            once it is open; empty unless a change of address is in progress.
     """
 
     def __init__(
@@ -53,50 +54,50 @@
     def _make_connections(self, address: Address) -> list[CounterConnection]:
         return [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
 
-    def add_to_counter(self, request: AddToCounter) -> None:
-        """Send an addition; its reply comes through `on_reply`, perhaps before this method returns."""
-        connection = self.connections[request.name % CONNECTION_COUNT]
-        call = CounterCall(request, time.monotonic(), connection, self.on_reply)
+    def add_to_counter(self, action: AddToCounter) -> None:
+        """Send an addition; `on_reply` may be called before this method returns."""
+        connection = self.connections[action.name % CONNECTION_COUNT]
+        call = CounterCall(action, time.monotonic(), connection, self.on_reply)
         connection.submit(call)
         if not call.is_settled:
             self.call_expiry.schedule(call)
 
     def change_address(self, address: Address) -> None:
-        """Move to the counter at another address; each connection is used until its replacement is open."""
+        """Connect to another address; each connection in use remains so until its replacement is open."""
         newest = self.replacements or self.connections
         if address == newest[-1].address:
             return
-        dropped = self.replacements
+        superseded = self.replacements
         self.replacements = self._make_connections(address)
-        for connection in dropped:
+        for connection in superseded:
             if connection not in self.connections:
                 connection.abort()
         for connection in self.replacements:
             connection.connect()
 
     def is_current(self, connection: CounterConnection) -> bool:
-        """Return whether the connection is in use, or is to replace one that is."""
+        """Return whether the connection is in use or is a replacement that is not open yet."""
         return connection in self.connections or connection in self.replacements
 
     def start_task(self, work: Coroutine[None, None, None]) -> None:
-        """Run a coroutine until it is done or the client is closed."""
+        """Run a coroutine as a task, which is cancelled when the client is closed."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def connection_attempted(self) -> None:
-        """Note that an attempt to connect has succeeded or failed."""
+    def connect_attempt_ended(self) -> None:
+        """Complete `ready` after an attempt to connect has succeeded or failed."""
         if not self.ready.done():
             self.ready.set_result(None)
 
     def connection_opened(self, connection: CounterConnection) -> None:
-        """Let a replacement that has just opened replace the connection that it is for."""
+        """Put a replacement connection that has just opened into use."""
         if connection not in self.replacements:
             return
         index = self.replacements.index(connection)
         replaced = self.connections[index]
         self.connections[index] = connection
-        replaced.hand_over_to(connection)
+        replaced.replace_with(connection)
         if all(current.address == connection.address for current in self.connections):
             self.replacements = []
 
@@ -107,7 +108,7 @@
         self._liveness_timer = self.loop.call_later(LIVENESS_CHECK_SECONDS, self._check_liveness)
 
     def close(self) -> None:
-        """Close all connections; calls that are not settled get no reply."""
+        """Close all connections; pending calls get no reply."""
         self.is_closed = True
         self._liveness_timer.cancel()
         self.call_expiry.cancel()
--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter: its states, its transport, liveness and reconnecting."""
+"""One connection to the counter: its states, its transport, liveness checks and reconnects."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
     from gateway.address import Address
 
-MAX_PENDING_CALLS = 1000  # on one connection, queued or written
-PING_INTERVAL_SECONDS = 2.0  # idle time after which a PING keeps the connection from being closed
-REPLY_TIMEOUT_SECONDS = 2.0  # silence while calls wait, after which the counter's machine is taken for lost
+MAX_PENDING_CALLS = 1000  # queued or awaiting a reply on one connection
+PING_INTERVAL_SECONDS = 2.0  # a PING after this idle time keeps the connection from being closed
+REPLY_TIMEOUT_SECONDS = 2.0  # without a byte while calls are pending: the counter's machine is likely down
 CONNECT_TIMEOUT_SECONDS = 1.0
-MIN_RETRY_DELAY_SECONDS = 0.05  # between attempts to connect
+MIN_RETRY_DELAY_SECONDS = 0.05  # after the first failed attempt to connect, then doubled
 MAX_RETRY_DELAY_SECONDS = 1.0
 
 log = logging.getLogger(__name__)
 
 
 class ConnectionState(enum.Enum):
-    """How far a connection has come."""
+    """The state of a connection."""
 
     DISCONNECTED = enum.auto()  # calls fail at once until the next attempt to connect
     CONNECTING = enum.auto()  # calls are queued
     OPEN = enum.auto()
-    DRAINING = enum.auto()  # replaced by another connection; open until the written calls are settled
+    DRAINING = enum.auto()  # replaced by another connection; closed once all written calls are settled
 
 
-NEXT_STATES = {
-    # OPEN: the transport may report the connection just after the attempt has timed out.
+ALLOWED_TRANSITIONS = {
+    # To OPEN: the event loop may report the connection as made just after the attempt has timed out.
     ConnectionState.DISCONNECTED: {ConnectionState.CONNECTING, ConnectionState.OPEN},
     ConnectionState.CONNECTING: {ConnectionState.OPEN, ConnectionState.DISCONNECTED},
     ConnectionState.OPEN: {ConnectionState.DRAINING, ConnectionState.DISCONNECTED},
@@ -48,191 +48,193 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the client that it belongs to."""
+    """What a connection needs from the client that it belongs to."""
 
     loop: asyncio.AbstractEventLoop
     is_closed: bool
 
     def is_current(self, connection: CounterConnection) -> bool:
-        """Return whether the connection is in use, or is to replace one that is."""
+        """Return whether the connection is in use or is a replacement that is not open yet."""
         ...
 
     def start_task(self, work: Coroutine[None, None, None]) -> None:
-        """Run a coroutine until it is done or the client is closed."""
+        """Run a coroutine as a task, which is cancelled when the client is closed."""
         ...
 
-    def connection_attempted(self) -> None:
-        """Note that an attempt to connect has succeeded or failed."""
+    def connect_attempt_ended(self) -> None:
+        """Notify the client that an attempt to connect has succeeded or failed."""
         ...
 
     def connection_opened(self, connection: CounterConnection) -> None:
-        """Use a connection that has just opened in the place of the one that it replaces."""
+        """Notify the client that the connection has opened; a replacement is put into use."""
         ...
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection to one address, which reconnects for as long as its owner uses it.
+    """One connection to the counter at a fixed address; it reconnects as long as its owner uses it.
 
-    The event loop calls the methods of `asyncio.Protocol`; the owner calls the others.  When another
-    connection replaces this one (`hand_over_to`), that one writes only once all calls written here are
-    settled: the policy gets the replies to calls of one name in the order of the calls.
+    The event loop calls the methods of `asyncio.Protocol`, and the owner calls the others.  The successor
+    given to `replace_with` writes nothing until all calls written here are settled, so that the policy gets
+    the replies to calls of one name in the order of the calls.
     """
 
     def __init__(self, owner: ConnectionOwner, address: Address) -> None:
         self.address = address
         self.state = ConnectionState.DISCONNECTED
-        self.calls = CallPipeline()
-        self.last_received_at = 0.0  # monotonic seconds; or when the first of the waiting calls was written
+        self.pipeline = CallPipeline()
+        # Monotonic time in seconds from which the counter's silence is measured: when the connection opened,
+        # bytes arrived, or a call was written while no other was pending.
+        self.silent_since = 0.0
         self._owner = owner
-        self._predecessor: CounterConnection | None = None  # replaced by this one and not drained yet
-        self._successor: CounterConnection | None = None  # replaces this one and waits until it has drained
+        self._predecessor: CounterConnection | None = None  # replaced by this connection, and not drained yet
+        self._successor: CounterConnection | None = None  # replaces this connection once it has drained
         self._transport: asyncio.Transport | None = None
-        self._has_unsent_bytes = False  # whether written bytes are still in this process
+        self._has_unsent_bytes = False  # whether written bytes remain in the transport's buffer
         self._backoff = Backoff(MIN_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS)
 
-    def _enter(self, state: ConnectionState) -> None:
-        assert state in NEXT_STATES[self.state], f"{self.state} to {state}"
+    def _set_state(self, state: ConnectionState) -> None:
+        assert state in ALLOWED_TRANSITIONS[self.state], f"{self.state} to {state}"
         self.state = state
 
     def submit(self, call: CounterCall) -> None:
-        """Write a call, or queue it while the connection is being opened; settle it at once otherwise."""
-        if len(self.calls) >= MAX_PENDING_CALLS:
+        """Write a call or queue it; fail it if too many calls are pending or there is no connection."""
+        if len(self.pipeline) >= MAX_PENDING_CALLS:
             call.settle(Outcome.OVERLOADED)
         elif self.state is ConnectionState.DISCONNECTED:
             call.settle(Outcome.CONNECT_FAILED)
         elif self.can_write():
             self._write(call)
         else:
-            self.calls.queue(call)
+            self.pipeline.enqueue(call)
 
     def can_write(self) -> bool:
-        """Return whether a call may be written now: not before the predecessor has drained."""
+        """Return whether calls may be written: the connection is open, and its predecessor has drained."""
         if self.state is not ConnectionState.OPEN or self._predecessor is not None:
             return False
         return self._transport is not None and not self._transport.is_closing()
 
     def _write_queued_calls(self) -> None:
         while self.can_write():
-            call = self.calls.dequeue()
+            call = self.pipeline.dequeue()
             if call is None:
                 return
             self._write(call)
 
     def _write(self, call: CounterCall | Ping) -> None:
         assert self._transport is not None
-        if not self.calls.has_written:
-            self.last_received_at = time.monotonic()
-        self.calls.append_written(call)
+        if not self.pipeline.awaits_reply:
+            self.silent_since = time.monotonic()
+        self.pipeline.append_written(call)
         self._transport.write(call.encode())
 
     def expire(self, call: CounterCall) -> None:
-        """End a call that has waited longer than its timeout."""
-        self.calls.expire(call)
+        """Settle a call whose timeout has passed."""
+        self.pipeline.expire(call)
         self._close_when_drained()
 
-    def hand_over_to(self, successor: CounterConnection) -> None:
-        """Let another connection replace this one: written calls end here, queued ones move to it."""
+    def replace_with(self, successor: CounterConnection) -> None:
+        """Drain this connection: it keeps its written calls, and its queued calls move to the successor."""
         self._successor = successor
-        successor.wait_for(self)
-        self.calls.hand_queue_to(successor.calls, successor)
+        successor.set_predecessor(self)
+        self.pipeline.transfer_queue(successor.pipeline, successor)
         if self.state is ConnectionState.OPEN:
-            self._enter(ConnectionState.DRAINING)
+            self._set_state(ConnectionState.DRAINING)
         self._close_when_drained()
 
-    def wait_for(self, predecessor: CounterConnection) -> None:
+    def set_predecessor(self, predecessor: CounterConnection) -> None:
         """Write nothing until the connection that this one replaces has drained."""
         self._predecessor = predecessor
 
     def _close_when_drained(self) -> None:
-        """Close once another connection replaces this one and all written calls are settled."""
+        """Close a replaced connection once all its written calls are settled."""
         successor = self._successor
-        if successor is not None and self.calls.is_drained:
+        if successor is not None and self.pipeline.is_drained:
             self._successor = None
             self.abort()
             successor.predecessor_drained()
 
     def predecessor_drained(self) -> None:
-        """Write what was queued while the connection that this one replaces was draining."""
+        """Write the calls that were queued while the predecessor was draining."""
         self._predecessor = None
         self._write_queued_calls()
 
     def connect(self) -> None:
-        """Start an attempt to connect if there is no connection and the owner still uses this one."""
-        is_wanted = not self._owner.is_closed and self._owner.is_current(self)
-        if self.state is ConnectionState.DISCONNECTED and is_wanted:
-            self._enter(ConnectionState.CONNECTING)
+        """Start an attempt to connect if disconnected and still used by the owner."""
+        is_used = not self._owner.is_closed and self._owner.is_current(self)
+        if self.state is ConnectionState.DISCONNECTED and is_used:
+            self._set_state(ConnectionState.CONNECTING)
             self._owner.start_task(self._attempt_connection())
 
     async def _attempt_connection(self) -> None:
-        """Connect; if that fails, fail the queued calls and connect again after the backoff."""
+        """Connect; after a failure, fail the queued calls and retry after the backoff delay."""
         host = self.address.host
         port = self.address.port
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 await self._owner.loop.create_connection(lambda: self, host, port)
         except (OSError, TimeoutError):
-            if self.state is ConnectionState.CONNECTING:  # it may have opened just as the attempt timed out
-                self._enter(ConnectionState.DISCONNECTED)
-            self.calls.fail_queued()
+            if self.state is ConnectionState.CONNECTING:  # OPEN if it opened just as the attempt timed out
+                self._set_state(ConnectionState.DISCONNECTED)
+            self.pipeline.fail_queued()
             self._owner.loop.call_later(self._backoff.seconds, self.connect)
             self._backoff.lengthen()
         finally:
-            self._owner.connection_attempted()
+            self._owner.connect_attempt_ended()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Replace the connection that this one is for, and write what is queued."""
-        transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
-        transport.set_write_buffer_limits(high=0)  # so that any unsent byte pauses writing
+        """Replace the predecessor, if any, and write the queued calls."""
+        transport = cast("asyncio.Transport", transport)  # uvloop's transports do not subclass it
+        transport.set_write_buffer_limits(high=0)  # any unsent byte triggers pause_writing
         self._transport = transport
-        self._enter(ConnectionState.OPEN)
+        self._set_state(ConnectionState.OPEN)
         self._has_unsent_bytes = False
-        self.calls.expect_new_stream()
-        self.last_received_at = time.monotonic()
-        if not self._owner.is_current(self):  # the address was changed in the meantime
+        self.pipeline.reset_parser()
+        self.silent_since = time.monotonic()
+        if not self._owner.is_current(self):  # the address changed while connecting
             transport.abort()
             return
         self._owner.connection_opened(self)
         self._write_queued_calls()
 
     def pause_writing(self) -> None:
-        """Note that some written bytes are not sent yet."""
+        """Record that some written bytes are not sent yet."""
         self._has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Note that all written bytes are sent."""
+        """Record that all written bytes are sent."""
         self._has_unsent_bytes = False
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Settle all written calls and connect again."""
+        """Settle all written calls and reconnect."""
         self._transport = None
-        self._enter(ConnectionState.DISCONNECTED)
-        self.calls.fail_written(has_unsent_bytes=self._has_unsent_bytes)
+        self._set_state(ConnectionState.DISCONNECTED)
+        self.pipeline.fail_written(has_unsent_bytes=self._has_unsent_bytes)
         self._close_when_drained()
         self.connect()
 
     def data_received(self, data: bytes) -> None:
-        """Settle the calls whose replies are complete; close the connection on a malformed reply."""
-        self.last_received_at = time.monotonic()
+        """Settle the calls whose replies are complete; a malformed reply closes the connection."""
+        self.silent_since = time.monotonic()
         self._backoff.reset()
         try:
-            self.calls.receive(data)
+            self.pipeline.receive(data)
         except MalformedReplyError as error:
             log.warning("counter: connection closed: %s", error)
             self.abort()
         self._close_when_drained()
 
     def check_liveness(self, now: float) -> None:
-        """Close a connection whose calls get no reply, and ping an idle one; `now` is monotonic seconds."""
+        """Close an unresponsive connection and ping an idle one; `now` is the monotonic time in seconds."""
         if self.state is not ConnectionState.OPEN:
             return
-        silent_seconds = now - self.last_received_at
-        if self.calls.has_written:
+        silent_seconds = now - self.silent_since
+        if self.pipeline.awaits_reply:
             if silent_seconds > REPLY_TIMEOUT_SECONDS:
                 self.abort()
         elif silent_seconds > PING_INTERVAL_SECONDS:
             self._write(Ping())
 
     def abort(self) -> None:
-        """Close the connection at once, if there is one."""
+        """Close the transport immediately, if there is one."""
         if self._transport is not None:
             self._transport.abort()
--- a/tests/counter/test_call_pipeline.py
+++ b/tests/counter/test_call_pipeline.py
@@ -1,4 +1,4 @@
-"""Calls of one connection and the replies that are matched to them, without sockets."""
+"""Pipelined calls of one connection and the matching of replies to them, without sockets."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.support.counter import make_add_action
 
 
-class Carrier:
-    """Stands in for the connection of a call."""
+class UnusedConnection:
+    """A connection for calls that never expire."""
 
     def expire(self, call: CounterCall) -> None:
         raise NotImplementedError
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def call(replies: list[CounterReply]) -> CounterCall:
-    return CounterCall(make_add_action(), 0.0, Carrier(), replies.append)
+    return CounterCall(make_add_action(), 0.0, UnusedConnection(), replies.append)
 
 
 def test_a_call_is_settled_once(call: CounterCall, replies: list[CounterReply]) -> None:
@@ -34,7 +34,7 @@
     assert [reply.outcome for reply in replies] == [Outcome.TIMEOUT]
 
 
-# A call that was written may have been added, unless none of a single call was sent in full.
+# A written call may have been added, unless it was the only one and was not sent in full.
 @pytest.mark.parametrize(
     ("pings", "has_unsent_bytes", "outcome"),
     [
@@ -52,12 +52,12 @@
     pipeline.append_written(call)
     pipeline.fail_written(has_unsent_bytes=has_unsent_bytes)
     assert [reply.outcome for reply in replies] == [outcome]
-    assert not pipeline.has_written
+    assert not pipeline.awaits_reply
 
 
-def test_a_reply_that_no_call_waits_for_is_malformed(call: CounterCall) -> None:
+def test_a_reply_without_a_pending_call_is_malformed(call: CounterCall) -> None:
     pipeline = CallPipeline()
-    pipeline.queue(call)
-    with pytest.raises(MalformedReplyError, match="no call waits for"):
+    pipeline.enqueue(call)
+    with pytest.raises(MalformedReplyError, match="reply without a pending call"):
         pipeline.receive(b"$1\r\n5\r\n")
     assert not call.is_settled
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -1,4 +1,4 @@
-"""Additions to a fake counter on loopback sockets, and the move from one counter to another."""
+"""The counter client with a fake counter on loopback sockets: additions, and a change of address."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from gateway.address import parse_address
 from gateway.counter.client import CONNECTION_COUNT
 from gateway.policy.events import Outcome
-from tests.support.counter import LONG_TIMEOUT_SECONDS, counting, make_add_action
+from tests.support.counter import LONG_TIMEOUT_SECONDS, counter_client_for, make_add_action
 from tests.support.event_loop import async_test
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_server import Handler, listening
 
 
 @async_test
-async def test_calls_are_pipelined_and_their_replies_come_in_order() -> None:
+async def test_calls_are_pipelined_and_their_replies_arrive_in_order() -> None:
     server = FakeCounter()
-    async with counting(server.handle) as counter:
+    async with counter_client_for(server.handle) as counter:
         for amount in (4.0, -1.5, 0.0):
             counter.client.add_to_counter(make_add_action(9, amount))
         counter.client.add_to_counter(make_add_action(10, expires_after=90.0))
@@ -27,8 +27,8 @@
         assert [b"TALLY", b"10", b"1.000000", b"60000"] in server.calls
 
 
-def gated(server: FakeCounter, gate: asyncio.Event) -> Handler:
-    """Return a handler that serves connections once the gate is open."""
+def gated_handler(server: FakeCounter, gate: asyncio.Event) -> Handler:
+    """Return a handler that serves connections once the gate is set."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
@@ -37,16 +37,16 @@
     return handle
 
 
-# Guards against a gap when the configuration names another counter, and against replies out of their order:
-# a call written to the old one ends there, with its own reply, before the next of its name is written.
+# Guards against an outage while the address of the counter changes, and against replies out of order: a call
+# written to the old counter is settled before the next call of its name is written to the new one.
 @async_test
-async def test_calls_move_to_another_counter_without_a_gap() -> None:
+async def test_calls_move_to_another_counter_without_interruption() -> None:
     gate = asyncio.Event()
     old_server = FakeCounter()
     new_server = FakeCounter()
     async with (
         listening(new_server.handle) as new_address,
-        counting(gated(old_server, gate), LONG_TIMEOUT_SECONDS) as counter,
+        counter_client_for(gated_handler(old_server, gate), LONG_TIMEOUT_SECONDS) as counter,
     ):
         client = counter.client
         await client.ready
@@ -66,10 +66,10 @@
         assert counter.addresses == [parse_address(new_address)] * CONNECTION_COUNT
 
 
-# Guards against an outage by a wrong address: the old counter serves until another one is up.
+# Guards against an outage after a change to a wrong address: connections to the old counter remain in use.
 @async_test
-async def test_an_unreachable_counter_does_not_take_over() -> None:
-    async with counting(FakeCounter().handle) as counter:
+async def test_an_unreachable_counter_does_not_replace_the_one_in_use() -> None:
+    async with counter_client_for(FakeCounter().handle) as counter:
         await counter.until_open()
         counter.client.change_address(parse_address("127.0.0.1:1"))
         counter.client.change_address(parse_address("127.0.0.1:2"))
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a fake counter on loopback sockets: replies, reconnecting, idleness and bounds."""
+"""One connection to a fake counter on loopback sockets: replies, reconnects, idleness and bounds."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from gateway.policy.events import Outcome
 from tests.support.counter import (
     LONG_TIMEOUT_SECONDS,
-    CounterSetUp,
-    client_of,
-    counting,
+    CounterTestClient,
+    counter_client,
+    counter_client_for,
     is_open,
     make_add_action,
     never_reply,
@@ -29,12 +29,12 @@
 
 
 def counter_with_first_reply(first_reply: bytes) -> FakeCounter:
-    """Return a counter whose reply to the first call is not that of a counter."""
+    """Return a counter that sends the given bytes as its reply to the first call."""
     return FakeCounter(lambda number, _: first_reply if number == 0 else None)
 
 
-async def check_that_the_second_call_succeeds(counter: CounterSetUp) -> None:
-    """Let a first call time out as its connection is lost, and a second one go over a new connection."""
+async def check_that_the_second_call_succeeds(counter: CounterTestClient) -> None:
+    """Check that a first call times out as its connection is lost, and that a second one succeeds."""
     first_reply = await counter.add_and_wait(make_add_action(8))
     assert first_reply.outcome is Outcome.TIMEOUT
     await until(lambda: is_open(counter.first_connection))
@@ -50,21 +50,21 @@
     ],
 )
 @async_test
-async def test_a_rejected_call_leaves_the_connection_in_use(reply: bytes) -> None:
-    async with counting(counter_with_first_reply(reply).handle) as counter:
+async def test_a_rejected_call_keeps_its_connection_open(reply: bytes) -> None:
+    async with counter_client_for(counter_with_first_reply(reply).handle) as counter:
         counter.client.add_to_counter(make_add_action())
         counter.client.add_to_counter(make_add_action())
         await counter.until_replies(2)
         assert counter.outcomes == [Outcome.OVERLOADED, Outcome.OK]
 
 
-# Guards against totals that belong to another call: after a reply without a number nothing on that connection
-# can be matched, so it ends, and what was written behind may have been added.  No total is nan or inf: a
-# customer's sums would never be right again.
+# Guards against totals that are matched to the wrong call: replies after an invalid one cannot be matched, so
+# the connection is closed, and the calls still pending on it may have been added.  nan and inf are invalid
+# totals, as every later sum of the customer would be nan or inf as well.
 @pytest.mark.parametrize(
     "reply",
     [
-        pytest.param(b"+what\r\n", id="another status"),
+        pytest.param(b"+what\r\n", id="unknown status"),
         pytest.param(b"$3\r\nnan\r\n", id="nan"),
         pytest.param(b"$3\r\ninf\r\n", id="inf"),
         pytest.param(b"$3\r\n1_0\r\n", id="number with underscore"),
@@ -72,13 +72,13 @@
         pytest.param(b"*0\r\n", id="empty array"),
         pytest.param(b"$-1\r\n", id="null"),
         pytest.param(b":5\r\n", id="integer"),
-        pytest.param(b"\x00noise\r\n", id="noise"),
+        pytest.param(b"\x00noise\r\n", id="not RESP"),
         pytest.param(b"$300000000\r\n" + b"7" * 100_000, id="too long"),
     ],
 )
 @async_test
-async def test_a_reply_without_a_total_ends_its_connection(reply: bytes) -> None:
-    async with counting(counter_with_first_reply(reply).handle, LONG_TIMEOUT_SECONDS) as counter:
+async def test_a_reply_without_a_total_closes_its_connection(reply: bytes) -> None:
+    async with counter_client_for(counter_with_first_reply(reply).handle, LONG_TIMEOUT_SECONDS) as counter:
         counter.client.add_to_counter(make_add_action())
         counter.client.add_to_counter(make_add_action())
         await counter.until_replies(2)
@@ -89,13 +89,15 @@
 
 
 @async_test
-async def test_bytes_that_are_no_reply_end_the_connection() -> None:
-    async with counting(counter_with_first_reply(b"?!\r\n").handle, LONG_TIMEOUT_SECONDS) as counter:
+async def test_invalid_resp_closes_the_connection() -> None:
+    async with counter_client_for(
+        counter_with_first_reply(b"?!\r\n").handle, LONG_TIMEOUT_SECONDS
+    ) as counter:
         await check_that_the_second_call_succeeds(counter)
 
 
 class LateCounter:
-    """A counter that replies to the first call once `may_reply` is set, and then to one more call."""
+    """A counter that replies to the first call once `may_reply` is set, and to the second at once."""
 
     def __init__(self) -> None:
         self.may_reply = asyncio.Event()
@@ -111,10 +113,10 @@
 
 
 @async_test
-async def test_a_late_reply_is_not_taken_for_the_next_calls() -> None:
+async def test_a_late_reply_is_not_matched_to_the_next_call() -> None:
     timeout_seconds = 0.05
     server = LateCounter()
-    async with counting(server.handle, timeout_seconds) as counter:
+    async with counter_client_for(server.handle, timeout_seconds) as counter:
         first_reply = await counter.add_and_wait(make_add_action(8))
         assert first_reply.outcome is Outcome.TIMEOUT
         assert first_reply.elapsed >= timeout_seconds
@@ -125,47 +127,47 @@
         assert second_reply.total == 3.0
 
 
-class FirstConnectionLost(FakeCounter):
-    """A counter that ends the connection of the first call that it reads."""
+class FirstCallLosingCounter(FakeCounter):
+    """A counter that closes the connection on which it reads the first call."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.has_ended_one = False
+        self.has_closed_a_connection = False
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.has_ended_one:
+        if self.has_closed_a_connection:
             await super().handle(reader, writer)
         elif await reader.read(1000):
-            self.has_ended_one = True
+            self.has_closed_a_connection = True
 
 
 @async_test
-async def test_a_call_whose_connection_ends_may_have_been_added_and_the_next_reconnects() -> None:
-    server = FirstConnectionLost()
-    async with counting(server.handle, LONG_TIMEOUT_SECONDS) as counter:
+async def test_a_call_times_out_when_its_connection_is_lost_and_the_next_call_reconnects() -> None:
+    server = FirstCallLosingCounter()
+    async with counter_client_for(server.handle, LONG_TIMEOUT_SECONDS) as counter:
         await check_that_the_second_call_succeeds(counter)
         assert len(server.calls) == 1
 
 
 @async_test
-async def test_a_refused_connection_proves_that_nothing_was_added() -> None:
+async def test_calls_fail_without_being_added_while_connections_are_refused() -> None:
     async with listening(FakeCounter().handle) as closed_address:
         pass
-    async with client_of(closed_address) as counter:
-        await counter.add_and_wait(make_add_action(8))  # queued while the connection is attempted
-        await counter.add_and_wait(make_add_action(8))  # not queued while it is known to be down
+    async with counter_client(closed_address) as counter:
+        await counter.add_and_wait(make_add_action(8))  # queued while connecting
+        await counter.add_and_wait(make_add_action(8))  # fails at once while disconnected
         assert counter.outcomes == [Outcome.CONNECT_FAILED] * 2
 
 
 @async_test
-async def test_a_vanished_counter_is_reconnected_to() -> None:
+async def test_an_unresponsive_connection_is_replaced() -> None:
     opened: list[int] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         opened.append(1)
         await never_reply(reader, writer)
 
-    async with counting(handle, timeout_seconds=0.02) as counter:
+    async with counter_client_for(handle, timeout_seconds=0.02) as counter:
         await until(lambda: len(opened) == CONNECTION_COUNT)
         await counter.add_and_wait(make_add_action(8))
         connection = counter.first_connection
@@ -176,22 +178,22 @@
 
 
 @async_test
-async def test_an_idle_connection_is_kept_open_by_a_ping() -> None:
+async def test_an_idle_connection_is_pinged() -> None:
     server = FakeCounter()
-    async with counting(server.handle) as counter:
+    async with counter_client_for(server.handle) as counter:
         connection = counter.first_connection
         await until(lambda: is_open(connection))
-        last_received_before = connection.last_received_at
+        silent_since_before = connection.silent_since
         connection.check_liveness(time.monotonic() + PING_INTERVAL_SECONDS + 1.0)
-        assert len(connection.calls) == 1
-        await until(lambda: len(connection.calls) == 0)
-        assert connection.last_received_at > last_received_before
+        assert len(connection.pipeline) == 1
+        await until(lambda: len(connection.pipeline) == 0)
+        assert connection.silent_since > silent_since_before
         assert not server.calls
 
 
 @async_test
 async def test_pending_calls_are_bounded() -> None:
-    async with counting(never_reply, LONG_TIMEOUT_SECONDS) as counter:
+    async with counter_client_for(never_reply, LONG_TIMEOUT_SECONDS) as counter:
         for _ in range(MAX_PENDING_CALLS + 1):
             counter.client.add_to_counter(make_add_action(8))
         assert counter.outcomes == [Outcome.OVERLOADED]
--- a/tests/counter/test_resp.py
+++ b/tests/counter/test_resp.py
@@ -1,4 +1,4 @@
-"""The counter's calls and replies as bytes, without sockets."""
+"""Encoding of the counter's commands and parsing of its replies, without sockets."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from gateway.counter.resp import (
     MAX_REPLY_BYTES,
     ErrorReply,
-    Pong,
+    PongReply,
     Reply,
     ReplyParser,
-    Total,
+    TotalReply,
     UnexpectedReply,
     encode_add,
 )
@@ -26,9 +26,7 @@
         pytest.param(0.0, b"1", id="too short"),
     ],
 )
-def test_an_addition_is_encoded_with_an_expiry_that_the_counter_accepts(
-    expires_after: float, milliseconds: bytes
-) -> None:
+def test_an_addition_is_encoded_with_its_expiry_clamped(expires_after: float, milliseconds: bytes) -> None:
     command = encode_add(make_add_action(9, -1.5, expires_after))
     expected = [b"TALLY", b"9", b"-1.500000", milliseconds]
     assert command == b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in expected)
@@ -37,15 +35,15 @@
 @pytest.mark.parametrize(
     ("data", "reply"),
     [
-        pytest.param(b"$4\r\n-2.5\r\n", Total(-2.5), id="total"),
-        pytest.param(b"$5\r\n1e-07\r\n", Total(1e-07), id="total with exponent"),
-        pytest.param(b"+PONG\r\n", Pong(), id="pong"),
+        pytest.param(b"$4\r\n-2.5\r\n", TotalReply(-2.5), id="total"),
+        pytest.param(b"$5\r\n1e-07\r\n", TotalReply(1e-07), id="total with exponent"),
+        pytest.param(b"+PONG\r\n", PongReply(), id="pong"),
         pytest.param(b"-BUSY try later\r\n", ErrorReply("BUSY try later"), id="busy"),
         pytest.param(b"$3\r\nnan\r\n", UnexpectedReply(b"nan"), id="nan"),
         pytest.param(b":5\r\n", UnexpectedReply(5), id="integer"),
     ],
 )
-def test_a_reply_is_parsed_with_its_last_byte(data: bytes, reply: Reply) -> None:
+def test_a_reply_is_returned_as_soon_as_its_last_byte_is_fed(data: bytes, reply: Reply) -> None:
     parser = ReplyParser()
     for byte in data[:-1]:
         assert list(parser.feed(bytes([byte]))) == []
@@ -55,11 +53,11 @@
 @pytest.mark.parametrize(
     ("data", "text"),
     [
-        pytest.param(b"?!\r\n", "not RESP", id="noise"),
-        pytest.param(b"$300000000\r\n" + b"7" * MAX_REPLY_BYTES, "more than 65536 bytes", id="too long"),
+        pytest.param(b"?!\r\n", "invalid RESP", id="not RESP"),
+        pytest.param(b"$300000000\r\n" + b"7" * MAX_REPLY_BYTES, "exceeds 65536 bytes", id="too long"),
     ],
 )
-def test_bytes_that_are_no_reply_are_an_error(data: bytes, text: str) -> None:
+def test_malformed_replies_raise_an_error(data: bytes, text: str) -> None:
     with pytest.raises(MalformedReplyError, match=text) as raised:
         list(ReplyParser().feed(data))
     assert isinstance(raised.value, CounterError)
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -1,4 +1,4 @@
-"""What the tests of the counter's client share: a client of a fake counter, and the replies that it gives."""
+"""Helpers for the tests of the counter client: a client of a fake counter, which records its replies."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
     from gateway.policy.events import CounterReply, Outcome
 
-SHORT_TIMEOUT_SECONDS = 0.08  # of a call that is to be answered at once, or not at all
-LONG_TIMEOUT_SECONDS = 5.0  # of a call that ends for another reason
+SHORT_TIMEOUT_SECONDS = 0.08  # for calls that are answered immediately or never
+LONG_TIMEOUT_SECONDS = 5.0  # for calls that end before their timeout
 
 
 @dataclass
-class CounterSetUp:
-    """A client of a counter, and the replies that it gives."""
+class CounterTestClient:
+    """A counter client, and the replies that it has delivered."""
 
     client: CounterClient
     replies: list[CounterReply] = field(default_factory=list)
@@ -45,17 +45,17 @@
 
     @property
     def first_connection(self) -> CounterConnection:
-        """The connection that carries calls of the name 8."""
+        """The connection used for calls of the name 8."""
         return self.client.connections[0]
 
     async def until_replies(self, count: int) -> None:
-        """Wait until the client has given this many replies in all."""
+        """Wait until the client has delivered this many replies in total."""
         await until(lambda: len(self.replies) == count)
 
-    async def add_and_wait(self, request: AddToCounter) -> CounterReply:
-        """Make an addition, and wait for its reply."""
+    async def add_and_wait(self, action: AddToCounter) -> CounterReply:
+        """Send an addition and wait for its reply."""
         count = len(self.replies) + 1
-        self.client.add_to_counter(request)
+        self.client.add_to_counter(action)
         await self.until_replies(count)
         return self.last_reply
 
@@ -64,35 +64,35 @@
         await until(lambda: all(map(is_open, self.client.connections)))
 
     async def until_moved(self) -> None:
-        """Wait until the connections to a changed address have replaced the ones before."""
+        """Wait until the connections to a changed address are in use and open."""
         await until(lambda: not self.client.replacements)
         await self.until_open()
 
 
 @contextlib.asynccontextmanager
-async def client_of(
+async def counter_client(
     address: str, timeout_seconds: float = SHORT_TIMEOUT_SECONDS
-) -> AsyncIterator[CounterSetUp]:
-    """Run a client of the counter at an address."""
+) -> AsyncIterator[CounterTestClient]:
+    """Run a client of the counter at the given address."""
     replies: list[CounterReply] = []
     client = CounterClient(parse_address(address), timeout_seconds, replies.append)
     try:
-        yield CounterSetUp(client, replies)
+        yield CounterTestClient(client, replies)
     finally:
         client.close()
 
 
 @contextlib.asynccontextmanager
-async def counting(
+async def counter_client_for(
     handler: Handler, timeout_seconds: float = SHORT_TIMEOUT_SECONDS
-) -> AsyncIterator[CounterSetUp]:
-    """Run a client of a counter whose connections the handler serves."""
-    async with listening(handler) as address, client_of(address, timeout_seconds) as counter:
+) -> AsyncIterator[CounterTestClient]:
+    """Run a counter, whose connections the handler serves, and a client of it."""
+    async with listening(handler) as address, counter_client(address, timeout_seconds) as counter:
         yield counter
 
 
 def make_add_action(name: int = 9, amount: float = 1.0, expires_after: float = 4.0) -> AddToCounter:
-    """Return an addition; those of the names 8 and 9 have connections of their own."""
+    """Return an addition; the names 8 and 9 are sent on different connections."""
     return AddToCounter(name, amount, expires_after)
 
 
@@ -101,5 +101,5 @@
 
 
 async def never_reply(_reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-    """Serve a connection on which the counter says nothing."""
+    """Handle a connection without sending anything."""
     await asyncio.sleep(30)
