--- a/gateway/discovery/__init__.py
+++ b/gateway/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint discovery: watches on the discovery agent, and its endpoint list as typed updates."""
+"""Endpoint discovery: watches a discovery agent, and decodes its endpoint list into typed updates."""
--- a/gateway/discovery/client.py
+++ b/gateway/discovery/client.py
@@ -1,4 +1,4 @@
-"""Endpoint discovery as the gateway uses it: every endpoint list and delta, from one agent at a time."""
+"""Client of endpoint discovery: passes on the endpoint lists and deltas of one agent at a time."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 
 
 class DiscoveryClient:
-    """Watches a discovery agent and calls back with each update and its addresses by endpoint id.
+    """Watches a discovery agent, and passes each update, with the endpoints' addresses by id, to a callback.
 
     Attributes:
         decoder: Decodes the updates of all watches.
-        first_update: Done once the first update has come.
-        agent_watches: The active watch, then the one that is to replace it, if there is one.
+        on_update: Called with each update and its addresses.
+        first_update: Done once the first update has been passed on.
+        agent_watches: The active watch, followed by its replacement while the address changes.
     """
 
     def __init__(self, address: Address, decoder: EndpointDecoder, on_update: UpdateListener) -> None:
@@ -35,7 +36,7 @@
     def change_address(self, address: Address) -> None:
         """Watch the agent at another address.
 
-        Updates are taken from the active watch until the complete list of the new agent has come.
+        The current watch stays active until the new agent has sent a snapshot of its endpoint list.
         """
         if address == self.agent_watches[-1].address:
             return
@@ -44,16 +45,16 @@
         self.agent_watches[1:] = [AgentWatch(self, address)]
 
     def is_active(self, watch: AgentWatch) -> bool:
-        """Return whether updates are taken from this watch."""
+        """Return whether the updates of this watch are passed on."""
         return watch is self.agent_watches[0]
 
     def activate(self, watch: AgentWatch) -> None:
-        """Take updates from this watch from now on, and close the ones before it."""
+        """Make a watch the active one, and close the watch that it replaces."""
         while not self.is_active(watch):
             self.agent_watches.pop(0).close()
 
     def publish(self, decoded: DecodedUpdate) -> None:
-        """Call back with an update and its addresses."""
+        """Pass an update and its addresses to the callback."""
         self.on_update(decoded.update, decoded.addresses)
         if not self.first_update.done():
             self.first_update.set_result(None)
--- a/gateway/discovery/connection_set.py
+++ b/gateway/discovery/connection_set.py
@@ -1,4 +1,4 @@
-"""The connections to one discovery agent: opening them, their bound, and the time limits of each."""
+"""The set of connections to one discovery agent, with a bound on their number and time limits for each."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
     from gateway.address import Address
 
-ATTEMPT_IDLE_TIMEOUT_SECONDS = 1.0  # without a byte; short, as the agent is on this machine
-SNAPSHOT_TIMEOUT_SECONDS = 5.0  # from the start of an attempt until its endpoint list is complete
+ATTEMPT_IDLE_TIMEOUT_SECONDS = 1.0  # without a received byte; short, as the agent is on the same machine
+SNAPSHOT_TIMEOUT_SECONDS = 5.0  # from the start of an attempt until its snapshot is complete
 
 
 class WatchConnectionSet:
-    """All open connections to an agent, oldest first; at most `max_connections`.
+    """The connections to an agent, oldest first; at most `max_connections`.
 
-    Each connection runs in a task of its own, which ends it when it exceeds a time limit.
+    Each connection has its own task, which closes the connection when it exceeds a time limit.
     """
 
     def __init__(
@@ -37,17 +37,17 @@
         self._tasks: dict[WatchConnection, asyncio.Task[None]] = {}
 
     def __len__(self) -> int:
-        """Return the number of open connections."""
+        """Return the number of connections that are connecting or open."""
         return len(self._tasks)
 
     def __iter__(self) -> Iterator[WatchConnection]:
-        """Yield the open connections, oldest first."""
+        """Yield the connections, oldest first."""
         return iter(self._tasks)
 
-    def open(self, *, kept: WatchConnection | None) -> WatchConnection:
-        """Start to open a connection; at the bound, abandon the oldest other than `kept` for it."""
+    def open(self, *, keep: WatchConnection | None) -> WatchConnection:
+        """Start to open a connection; at the bound, first close the oldest one other than `keep`."""
         while len(self) >= self._max_connections:
-            self.abandon(next(oldest for oldest in self if oldest is not kept))
+            self.close(next(oldest for oldest in self if oldest is not keep))
         connection = WatchConnection(self._consumer, self._loop)
         task = self._loop.create_task(self._run(connection))
         self._tasks[connection] = task
@@ -55,11 +55,11 @@
         return connection
 
     async def _run(self, connection: WatchConnection) -> None:
-        """Connect and wait until the connection has ended, or has exceeded a time limit."""
+        """Connect, and wait until the connection is closed or exceeds a time limit."""
         started_at = time.monotonic()
         try:
             await self._connect(connection)
-            await self._fetch_snapshot(connection, started_at + SNAPSHOT_TIMEOUT_SECONDS)
+            await self._await_snapshot(connection, started_at + SNAPSHOT_TIMEOUT_SECONDS)
             await connection.closed
         except (OSError, TimeoutError):
             return
@@ -72,12 +72,15 @@
         async with asyncio.timeout(ATTEMPT_IDLE_TIMEOUT_SECONDS):
             await self._loop.create_connection(lambda: connection, host, port)
 
-    async def _fetch_snapshot(self, connection: WatchConnection, deadline: float) -> None:
-        """Wait until the complete endpoint list has come, or the connection has ended.
+    async def _await_snapshot(self, connection: WatchConnection, deadline: float) -> None:
+        """Wait until the snapshot is received or the connection is closed.
+
+        Args:
+            connection: The connection, which has requested the snapshot.
+            deadline: Monotonic time in seconds by which the snapshot must be complete.
 
         Raises:
-            TimeoutError: No byte came for too long, or the list was not complete at the deadline, which is
-                in monotonic seconds.
+            TimeoutError: No byte was received for too long, or the snapshot is incomplete at the deadline.
         """
         while connection.state is WatchState.FETCHING_SNAPSHOT:
             idle_deadline = connection.last_received_at + ATTEMPT_IDLE_TIMEOUT_SECONDS
@@ -86,13 +89,13 @@
                 raise TimeoutError
             await asyncio.wait([connection.closed], timeout=seconds_left)
 
-    def abandon(self, connection: WatchConnection) -> None:
-        """Close a connection; what comes on it from now on is not read."""
+    def close(self, connection: WatchConnection) -> None:
+        """Close a connection immediately and remove it from the set."""
         connection.abort()
         self._tasks.pop(connection).cancel()
 
-    def abandon_all(self, *, kept: WatchConnection | None = None) -> None:
-        """Close all connections, except for `kept`."""
+    def close_all(self, *, keep: WatchConnection | None = None) -> None:
+        """Close all connections except `keep`."""
         for connection in list(self):
-            if connection is not kept:
-                self.abandon(connection)
+            if connection is not keep:
+                self.close(connection)
--- a/gateway/discovery/endpoint_decoder.py
+++ b/gateway/discovery/endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the JSON of endpoint lists and deltas into the policy's types, and derives endpoint ids."""
+"""Decodes endpoint lists and deltas from JSON into the policy's types, and derives endpoint ids."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HEX_ID_PREFIX = "s"  # of a host name that carries the endpoint's id
-HEX_ID_LENGTH = 8  # digits
+HEX_ID_PREFIX = "s"  # of a host name that contains the endpoint id
+HEX_ID_DIGITS = 8
 HEX_DIGITS = frozenset("0123456789abcdef")
 ENDPOINT_ID_BYTES = 4
 MILLISECONDS_PER_SECOND = 1000
@@ -28,35 +28,35 @@
 
 
 class DecodedEndpoint(NamedTuple):
-    """One endpoint as the policy sees it, and the address at which the gateway connects to it."""
+    """One endpoint as a record for the policy, and the address at which the gateway connects to it."""
 
     record: EndpointRecord
     address: Address
 
 
 class DecodedUpdate(NamedTuple):
-    """An endpoint list or a delta for the policy, and the addresses by endpoint id."""
+    """An endpoint list or delta for the policy, and the address of each endpoint by its id."""
 
     update: EndpointUpdate
     addresses: dict[int, Address]
 
 
 def derive_endpoint_id(name: str) -> int:
-    """Derive an endpoint's id from its host name alone, so that every gateway derives the same one.
+    """Derive an endpoint id from the host name alone, so that every gateway derives the same id.
 
-    A name of the form ``s-5be2a07c``, with eight lower-case hexadecimal digits, carries its id; any other
-    name is hashed.
+    A name such as ``s-5be2a07c`` contains the id in eight lower-case hexadecimal digits; any other name is
+    hashed.
     """
     prefix, _, digits = name.partition("-")
-    if prefix == HEX_ID_PREFIX and len(digits) == HEX_ID_LENGTH and set(digits) <= HEX_DIGITS:
+    if prefix == HEX_ID_PREFIX and len(digits) == HEX_ID_DIGITS and set(digits) <= HEX_DIGITS:
         return int(digits, 16)
     return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
 
 class EndpointDecoder:
-    """Decodes updates, and keeps the host name of each known endpoint id to detect collisions.
+    """Decodes updates, and remembers the host name of each endpoint id to detect collisions.
 
-    Two host names with one id would be taken for one endpoint, so the second of them is left out.
+    When two host names have the same id, the second is skipped, as the policy could not tell them apart.
 
     Attributes:
         zones: The index of each zone by its name.
@@ -70,7 +70,7 @@
         self.host_names: dict[int, str] = {}
 
     def decode_document(self, document: bytes) -> DecodedUpdate:
-        """Decode one JSON document as an agent sends it.
+        """Decode one JSON document of an agent.
 
         Raises:
             MalformedUpdateError: The document is not JSON or not an update.
@@ -80,19 +80,23 @@
         except MalformedUpdateError:
             raise
         except (ValueError, RecursionError) as error:
-            raise MalformedUpdateError(f"unreadable JSON: {error}: {reprlib.repr(document)}") from None
+            raise MalformedUpdateError(f"invalid JSON: {error}: {reprlib.repr(document)}") from None
 
     def decode_update(self, raw: Any, *, cached: bool = False) -> DecodedUpdate:
-        """Decode parsed JSON as an endpoint list or a delta; endpoints that cannot be read are left out.
+        """Decode an endpoint list or a delta from parsed JSON; malformed endpoints are skipped.
 
-        `cached` marks the list that this gateway kept from an earlier run.
+        Args:
+            raw: The parsed JSON.
+            cached: Whether this is the list that the gateway saved in an earlier run.
 
         Raises:
-            MalformedUpdateError: The value is not an update, or no endpoint of a non-empty list can be read:
-                such a list must not remove all endpoints.
+            MalformedUpdateError: The value is not an update, or every endpoint of a non-empty list is
+                malformed: such a list must not remove all endpoints.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get(keys.RECORDS), list):
-            raise MalformedUpdateError(f"not an object with a list of hosts: {reprlib.repr(raw)}")
+            raise MalformedUpdateError(
+                f"expected an object with a list {keys.RECORDS!r}, got {reprlib.repr(raw)}"
+            )
         kind = _update_kind(raw, cached=cached)
         version = _update_version(raw)
         endpoints = self._decode_endpoints(raw[keys.RECORDS], kind)
@@ -101,18 +105,18 @@
         return DecodedUpdate(update, addresses)
 
     def _decode_endpoints(self, hosts: list[Any], kind: UpdateKind) -> list[DecodedEndpoint]:
-        """Decode the endpoints that can be read; a complete list replaces the known host names."""
+        """Decode the valid endpoints; a complete list also replaces the known host names."""
         if kind is UpdateKind.DELTA:
-            return self._decode_readable(hosts)
+            return self._decode_valid(hosts)
         previous_host_names = self.host_names
         self.host_names = {}
-        endpoints = self._decode_readable(hosts)
+        endpoints = self._decode_valid(hosts)
         if hosts and not endpoints:
             self.host_names = previous_host_names
-            raise MalformedUpdateError(f"no endpoint of {len(hosts)} can be read")
+            raise MalformedUpdateError(f"no valid endpoint among {len(hosts)}")
         return endpoints
 
-    def _decode_readable(self, hosts: list[Any]) -> list[DecodedEndpoint]:
+    def _decode_valid(self, hosts: list[Any]) -> list[DecodedEndpoint]:
         endpoints = []
         for raw in hosts:
             try:
@@ -122,7 +126,7 @@
                 continue
             endpoints.append(endpoint)
             if endpoint.record.state is EndpointState.GONE:
-                # Ids are not used again: names of endpoints that have gone would pile up.
+                # Ids are never reused, so the names of gone endpoints would accumulate.
                 del self.host_names[endpoint.record.endpoint_id]
         return endpoints
 
@@ -130,12 +134,12 @@
         """Decode one endpoint of an update.
 
         Raises:
-            MalformedEndpointError: A field is missing or malformed, or the id belongs to another host name.
+            MalformedEndpointError: A field is missing or malformed, or another host name has the same id.
         """
         if not isinstance(raw, dict):
-            raise MalformedEndpointError(f"not an object: {reprlib.repr(raw)}")
+            raise MalformedEndpointError(f"expected an object, got {reprlib.repr(raw)}")
         state = _read_field(raw, keys.STATE, keys.STATE_BY_HEALTH.__getitem__)
-        endpoint_id = self._claim_endpoint_id(_read_field(raw, keys.ENDPOINT_NAME, str))
+        endpoint_id = self._register_host_name(_read_field(raw, keys.ENDPOINT_NAME, str))
         record = EndpointRecord(
             endpoint_id=endpoint_id,
             zone=_read_field(raw, keys.ZONE, self._zone_index),
@@ -153,11 +157,11 @@
     def _machine_type_index(self, name: Any) -> int:
         return self.machine_types[format_setting(name)]
 
-    def _claim_endpoint_id(self, name: str) -> int:
+    def _register_host_name(self, name: str) -> int:
         endpoint_id = derive_endpoint_id(name)
-        owner = self.host_names.setdefault(endpoint_id, name)
-        if owner != name:
-            raise MalformedEndpointError(f"host {name!r} has the endpoint id of {owner!r}")
+        registered_name = self.host_names.setdefault(endpoint_id, name)
+        if registered_name != name:
+            raise MalformedEndpointError(f"host {name!r} has the same endpoint id as {registered_name!r}")
         return endpoint_id
 
 
@@ -172,19 +176,21 @@
         return int(raw[keys.VERSION])
     except (KeyError, TypeError, ValueError):
         value = reprlib.repr(raw.get(keys.VERSION))
-        raise MalformedUpdateError(f"no version number in {keys.VERSION}: {value}") from None
+        raise MalformedUpdateError(f"{keys.VERSION} is not a version number: {value}") from None
 
 
 def _read_field(raw: dict[str, Any], key: str, convert: Callable[[Any], Value]) -> Value:
-    """Return the converted value of one key of an endpoint; an error names the key and its value."""
+    """Return the converted value of one key of an endpoint; an error names the key and the value."""
     if key not in raw:
-        raise MalformedEndpointError(f"host {_host(raw)} has no {key}")
+        raise MalformedEndpointError(f"host {_quoted_host_name(raw)} has no {key}")
     try:
         return convert(raw[key])
     except (KeyError, TypeError, ValueError) as error:
         value = reprlib.repr(raw[key])
-        raise MalformedEndpointError(f"host {_host(raw)} has an unusable {key}: {value}") from error
+        raise MalformedEndpointError(
+            f"host {_quoted_host_name(raw)} has an invalid {key}: {value}"
+        ) from error
 
 
-def _host(raw: dict[str, Any]) -> str:
+def _quoted_host_name(raw: dict[str, Any]) -> str:
     return reprlib.repr(raw.get(keys.ENDPOINT_NAME))
--- a/gateway/discovery/endpoint_watch.py
+++ b/gateway/discovery/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on one discovery agent: which connection is active, and which of its updates count."""
+"""The watch on one discovery agent: chooses the active connection, and filters out outdated updates."""
 
 from __future__ import annotations
 
@@ -19,44 +19,44 @@
     from gateway.discovery.endpoint_decoder import DecodedUpdate, EndpointDecoder
 
 SILENCE_TIMEOUT_SECONDS = 3.0  # a healthy agent sends a heartbeat every 2 s
-MAX_CONNECTIONS = 8  # to one agent, as each takes a file descriptor
+MAX_CONNECTIONS = 8  # to one agent; bounds the file descriptors in use
 
 log = logging.getLogger(__name__)
 
 
 class WatchOwner(Protocol):
-    """What a watch needs of the client that it belongs to."""
+    """What a watch needs from the client that it belongs to."""
 
     loop: asyncio.AbstractEventLoop
     decoder: EndpointDecoder
 
     def is_active(self, watch: AgentWatch) -> bool:
-        """Return whether the client takes its updates from this watch."""
+        """Return whether the client passes on the updates of this watch."""
         ...
 
     def activate(self, watch: AgentWatch) -> None:
-        """Take updates from this watch from now on, and close the ones before it."""
+        """Make a watch the active one, and close the watch that it replaces."""
         ...
 
     def publish(self, decoded: DecodedUpdate) -> None:
-        """Pass an update on to the policy."""
+        """Pass an update to the policy."""
         ...
 
 
 class AgentWatch:
     """Watches the agent at one address until it is closed.
 
-    An agent that was cut off may never respond on connections made before its return, while an endpoint may
-    drain for one second only.  A silent connection is therefore not waited for: new connections are attempted
-    with a backoff until one brings the complete endpoint list and becomes the active one.  Until then the
-    silent connection is still read.  The number of connections is bounded: at the bound the oldest attempt
-    is abandoned, so that slow attempts do not prevent new ones.
+    After a network partition an agent may never respond on connections made before or during it, and an
+    endpoint may drain for only one second.  When the active connection is silent, new connections are
+    therefore attempted with a backoff until one of them receives a snapshot and becomes the active one; until
+    then, updates on the silent connection are still applied.  At the bound on the number of connections, the
+    oldest attempt is closed, so that slow attempts do not prevent new ones.
 
     Attributes:
-        address: Where the agent listens.
-        version: That of the last update; each agent may count its versions on its own.
-        connections: All open connections, the active one among them.
-        active_connection: The connection that brought the last complete list; None before the first.
+        address: The agent's address.
+        version: The version of the last published update; versions of different agents are not comparable.
+        connections: All connections, including the active one.
+        active_connection: The connection that received the last snapshot; None before the first one.
     """
 
     def __init__(self, owner: WatchOwner, address: Address) -> None:
@@ -65,37 +65,37 @@
         self.connections = WatchConnectionSet(self, owner.loop, address, MAX_CONNECTIONS)
         self.active_connection: WatchConnection | None = None
         self._owner = owner
-        self._needs_resync = False  # whether a delta may be lost with what could not be read
+        self._needs_resync = False  # whether a new snapshot must be fetched
         self._supervisor = WatchSupervisor(self, self.connections, owner.loop)
 
-    def seconds_until_silent(self) -> float:
-        """Return for how long the active connection needs no replacement; 0 or less if it needs one now."""
+    def seconds_until_replacement(self) -> float:
+        """Return the seconds until the active connection needs a replacement; 0 or less if it does now."""
         active = self.active_connection
         if active is None or active.state is WatchState.CLOSED or self._needs_resync:
             return 0.0
         return active.last_received_at + SILENCE_TIMEOUT_SECONDS - time.monotonic()
 
     def accept_snapshot(self, connection: WatchConnection, document: bytes) -> bool:
-        """Make a connection the active one if the document is a complete endpoint list; return whether it is.
+        """Publish a snapshot and make its connection the active one.
 
-        All other connections are closed: a list that is still coming on one of them was made before this one
-        and must not replace it.
+        All other connections are closed: a snapshot that is still being received on one of them may be older
+        and must not replace this one.  Returns false, and does nothing, if the document is not a snapshot.
         """
         decoded = self._decode(document)
         if decoded is None or decoded.update.kind is not UpdateKind.SNAPSHOT:
             return False
         self.active_connection = connection
         self._needs_resync = False
-        self.connections.abandon_all(kept=connection)
+        self.connections.close_all(keep=connection)
         self._owner.activate(self)
         self._publish(decoded)
         return True
 
     def apply_update(self, connection: WatchConnection, document: bytes) -> bool:
-        """Publish an update that came on the active connection.
+        """Publish an update received on the active connection, unless it is outdated.
 
-        Return false if it is malformed, or an endpoint list older than the known one: such a list may be from
-        an agent that has begun to count its versions anew.
+        Returns false if a new snapshot must be fetched: the update is malformed, or it is a snapshot of an
+        older version, as an agent that restarts its version numbers may send.
         """
         is_superseded = connection is not self.active_connection or not self._owner.is_active(self)
         if is_superseded:
@@ -109,7 +109,7 @@
         return True
 
     def _is_outdated(self, update: EndpointUpdate) -> bool:
-        """Return whether an update is known already; a list of the known version may still differ."""
+        """Return whether an update is outdated; a snapshot of the current version may still differ."""
         if update.kind is UpdateKind.DELTA:
             return update.version <= self.version
         return update.version < self.version
@@ -126,16 +126,16 @@
         self._owner.publish(decoded)
 
     def request_resync(self, connection: WatchConnection) -> None:
-        """Fetch the complete list again on another connection; this one is read until that has come."""
+        """Fetch a snapshot on a new connection; the active one is read until the snapshot is received."""
         if connection is self.active_connection:
             self._needs_resync = True
             self.wake_up()
 
     def wake_up(self) -> None:
-        """Have the supervisor look at the active connection again."""
+        """Have the supervisor check immediately whether a new connection is needed."""
         self._supervisor.wake_up()
 
     def close(self) -> None:
         """Stop watching and close all connections."""
         self._supervisor.close()
-        self.connections.abandon_all()
+        self.connections.close_all()
--- a/gateway/discovery/errors.py
+++ b/gateway/discovery/errors.py
@@ -4,12 +4,12 @@
 
 
 class DiscoveryError(Exception):
-    """Base of all errors raised in this package."""
+    """Base of the errors of endpoint discovery."""
 
 
 class MalformedUpdateError(DiscoveryError, ValueError):
-    """An endpoint list or a delta cannot be read; the text says what is wrong."""
+    """An endpoint list or a delta is malformed; the text names the fault and the value."""
 
 
 class MalformedEndpointError(MalformedUpdateError):
-    """One endpoint of an update cannot be read; the others of that update still can."""
+    """One endpoint of an update is malformed; the other endpoints of the update are still used."""
--- a/gateway/discovery/json_stream.py
+++ b/gateway/discovery/json_stream.py
@@ -1,36 +1,36 @@
-"""Splits a byte stream into JSON documents, each on one line or indented over several; does no I/O."""
+"""Splits a byte stream into JSON documents, which may span several lines; does no I/O."""
 
 from __future__ import annotations
 
 import json
 import re
 
-# A complete string, a bracket, a newline, or a quote whose string has no end yet.  Strings hold no newline.
+# A complete string, a bracket, a newline, or the quote of an unterminated string.  No string has a newline.
 TOKEN = re.compile(rb'"(?:[^"\\\n]|\\[^\n])*"|[{}\[\]\n"]')
 
 
 class JsonStream:
-    """Collects bytes and returns the documents that are complete.
+    """Buffers received bytes and returns each complete document.
 
-    An empty line between documents is returned as an empty document: agents send one as a heartbeat.  A
-    document that is never closed ends at an empty line, or before a line that is a complete update by itself,
-    so that the documents after it are not lost with it.
+    An empty line between documents, which agents send as a heartbeat, is returned as an empty document.  A
+    document with unclosed brackets ends at an empty line, or before a line that is a complete update, so that
+    later documents are not lost.
     """
 
     def __init__(self) -> None:
-        self._buffer = b""  # received and not returned yet
-        self._position = 0  # where scanning continues
-        self._document_start = 0  # where the document that is being scanned starts
-        self._line_start = 0  # where the line that is being scanned starts
-        self._depth = 0  # brackets that are open at the position
+        self._buffer = b""  # received, but not returned yet
+        self._position = 0  # offset at which scanning continues
+        self._document_start = 0  # offset of the document that is being scanned
+        self._line_start = 0  # offset of the line that is being scanned
+        self._depth = 0  # number of open brackets at the position
 
     @property
     def buffered_bytes(self) -> int:
-        """The size in bytes of the document that is not complete yet."""
+        """The number of bytes buffered for the incomplete document."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes; return the documents that are complete now, without surrounding white space."""
+        """Add received bytes; return the documents that they complete, without surrounding white space."""
         self._buffer += data
         documents: list[bytes] = []
         while (token := self._next_token()) is not None:
@@ -41,42 +41,42 @@
             elif token in b"}]":
                 self._depth -= 1
                 if self._depth <= 0:
-                    documents.append(self._take_until(self._position))
-        self._discard_taken()
+                    documents.append(self._cut_document(self._position))
+        self._discard_returned()
         return documents
 
     def _next_token(self) -> bytes | None:
-        """Return the next token; None if more bytes are needed to tell what it is."""
+        """Return the next token; None if more bytes are needed to recognize it."""
         match = TOKEN.search(self._buffer, self._position)
         if match is None:
             self._position = len(self._buffer)
             return None
         if match[0] == b'"' and self._buffer.find(b"\n", match.end()) < 0:
-            return None  # its string may continue in the next bytes
+            return None  # the string may continue in the next bytes
         self._position = match.end()
         return match[0]
 
     def _end_line(self) -> list[bytes]:
-        """Return the documents that end with the line that ends here."""
+        """Return the documents that end at the newline just scanned."""
         line_start = self._line_start
         self._line_start = self._position
         line = self._buffer[line_start : self._position].strip()
         if self._depth <= 0 or not line:
-            return [self._take_until(self._position)]
+            return [self._cut_document(self._position)]
         if not _is_complete_update(line):
             return []  # one line of an indented document
-        return [self._take_until(line_start), self._take_until(self._position)]
+        return [self._cut_document(line_start), self._cut_document(self._position)]
 
-    def _take_until(self, end: int) -> bytes:
-        """Return the document that ends at a position, and start the next one there."""
+    def _cut_document(self, end: int) -> bytes:
+        """Return the document that ends at an offset, and start the next one there."""
         document = self._buffer[self._document_start : end].strip()
         self._document_start = end
         self._line_start = end
         self._depth = 0
         return document
 
-    def _discard_taken(self) -> None:
-        """Drop the bytes of the documents that were returned."""
+    def _discard_returned(self) -> None:
+        """Remove the bytes of returned documents from the buffer."""
         self._buffer = self._buffer[self._document_start :]
         self._position -= self._document_start
         self._line_start -= self._document_start
@@ -84,9 +84,9 @@
 
 
 def _is_complete_update(line: bytes) -> bool:
-    """Return whether a line inside an open document is an update of its own.
+    """Return whether a line is a complete update rather than part of an indented document.
 
-    A line of an indented update may be a complete object too, one endpoint, but that contains no list.
+    A line of an indented update may be a complete object as well, namely an endpoint, but without a list.
     """
     is_object = line.startswith(b"{") and line.endswith(b"}")
     if not is_object or b"[" not in line:
--- a/gateway/discovery/watch_connection.py
+++ b/gateway/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a discovery agent: fetches the complete endpoint list, then watches for updates."""
+"""One connection to a discovery agent: fetches a snapshot of the endpoint list, then watches for updates."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from gateway.discovery import endpoint_keys
 from gateway.discovery.json_stream import JsonStream
 
-MAX_UPDATE_BYTES = 1 << 20  # of one endpoint list or delta, enough for thousands of endpoints
+MAX_UPDATE_BYTES = 1 << 20  # for one endpoint list or delta; enough for thousands of endpoints
 
 log = logging.getLogger(__name__)
 
 
 class WatchState(enum.Enum):
-    """How far a connection has come."""
+    """The state of a connection."""
 
     CONNECTING = enum.auto()
-    FETCHING_SNAPSHOT = enum.auto()  # the complete list has been requested
-    WATCHING = enum.auto()  # the list has been accepted; updates follow
+    FETCHING_SNAPSHOT = enum.auto()  # the snapshot was requested
+    WATCHING = enum.auto()  # the snapshot was accepted, and the watch requested
     CLOSED = enum.auto()
 
 
-NEXT_STATES = {
+ALLOWED_TRANSITIONS = {
     WatchState.CONNECTING: {WatchState.FETCHING_SNAPSHOT, WatchState.CLOSED},
     WatchState.FETCHING_SNAPSHOT: {WatchState.WATCHING, WatchState.CLOSED},
     WatchState.WATCHING: {WatchState.CLOSED},
@@ -37,40 +37,40 @@
 
 
 class WatchConsumer(Protocol):
-    """What a connection needs of the watch that opened it."""
+    """What a connection needs from the watch that opened it."""
 
     version: int
 
     def accept_snapshot(self, connection: WatchConnection, document: bytes) -> bool:
-        """Publish a complete endpoint list; return whether the document is one."""
+        """Publish a snapshot; return false if the document is not one."""
         ...
 
     def apply_update(self, connection: WatchConnection, document: bytes) -> bool:
-        """Apply an update of the watch; return whether it could be read and was not outdated."""
+        """Apply an update; return false if a new snapshot must be fetched."""
         ...
 
     def request_resync(self, connection: WatchConnection) -> None:
-        """Fetch the complete list again, on another connection."""
+        """Fetch a snapshot on a new connection."""
         ...
 
     def wake_up(self) -> None:
-        """Look again at which connections are needed."""
+        """Check immediately whether a new connection is needed."""
         ...
 
 
 class WatchConnection(asyncio.Protocol):
-    """One connection to an agent; the HTTP parser and the `JsonStream` interpret its bytes.
+    """One connection to an agent, which parses HTTP responses and the JSON documents in them.
 
-    The event loop calls the methods of `asyncio.Protocol`, and the HTTP parser the methods named `on_...`.
-    The complete list is requested first on each connection, as the version of another connection's list may
-    mean nothing to this agent.  The watch is a chunked response of JSON documents.
+    The event loop calls the methods of `asyncio.Protocol`, and the HTTP parser calls the methods named
+    `on_...`.  Each connection first requests a snapshot, as the agent may not know the version of a
+    snapshot that was received on another connection.  The watch is a chunked response of JSON documents.
 
     Attributes:
-        state: How far the connection has come.
-        closed: Done once the connection has ended.
-        has_received: Whether any byte of the complete list has come.
-        last_received_at: When bytes of the complete list, then a document or a heartbeat of the watch, came
-            last; in monotonic seconds.
+        state: The state of the connection.
+        closed: Done once the connection is closed.
+        has_received: Whether any byte of the snapshot response was received.
+        last_received_at: Monotonic time in seconds of the last received bytes of the snapshot, or of the
+            last document or heartbeat of the watch.
     """
 
     def __init__(self, consumer: WatchConsumer, loop: asyncio.AbstractEventLoop) -> None:
@@ -81,18 +81,18 @@
         self._consumer = consumer
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._snapshot = b""  # the bytes of the complete list so far
+        self._snapshot = b""  # the received bytes of the snapshot
         self._documents = JsonStream()
 
-    def _enter(self, state: WatchState) -> None:
-        assert state in NEXT_STATES[self.state], f"{self.state} to {state}"
+    def _set_state(self, state: WatchState) -> None:
+        assert state in ALLOWED_TRANSITIONS[self.state], f"{self.state} to {state}"
         self.state = state
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Request the complete list."""
-        self._transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
+        """Request the snapshot."""
+        self._transport = cast("asyncio.Transport", transport)  # uvloop's transports do not subclass it
         self.last_received_at = time.monotonic()
-        self._enter(WatchState.FETCHING_SNAPSHOT)
+        self._set_state(WatchState.FETCHING_SNAPSHOT)
         self._send_request(endpoint_keys.SNAPSHOT_TARGET)
 
     def _send_request(self, target: str) -> None:
@@ -106,22 +106,22 @@
             self.last_received_at = time.monotonic()
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserError as error:  # the end of the message cannot be found any more
-            self._fail(f"malformed response: {error}")
+        except httptools.HttpParserError as error:  # the end of the response can no longer be found
+            self._fail(f"malformed HTTP response: {error}")
 
     def on_headers_complete(self) -> None:
-        """End the connection unless the agent serves the request."""
+        """Close the connection unless the status is 200."""
         if self._parser.get_status_code() != HTTPStatus.OK:
-            self._fail(f"response status {self._parser.get_status_code()}")
+            self._fail(f"unexpected status {self._parser.get_status_code()}")
 
     def on_body(self, body: bytes) -> None:
-        """Collect the complete list, or pass on the documents of the watch that are complete."""
+        """Collect the bytes of the snapshot, or apply the complete documents of the watch."""
         if self.state is WatchState.WATCHING:
             self._apply_documents(body)
         else:
             self._snapshot += body
         if len(self._snapshot) + self._documents.buffered_bytes > MAX_UPDATE_BYTES:
-            self._fail(f"an update of more than {MAX_UPDATE_BYTES} bytes")
+            self._fail(f"update exceeds {MAX_UPDATE_BYTES} bytes")
 
     def _apply_documents(self, body: bytes) -> None:
         for document in self._documents.feed(body):
@@ -131,15 +131,15 @@
                 self._consumer.request_resync(self)
 
     def on_message_complete(self) -> None:
-        """Start the watch once the complete list is accepted; a watch that ends closes the connection."""
+        """Request the watch after the snapshot; close the connection at the end of the watch."""
         if self._transport is None or self._transport.is_closing():
             return
         if self.state is WatchState.WATCHING:
             self._transport.close()
         elif not self._consumer.accept_snapshot(self, self._snapshot):
-            self._fail("the response is not a complete endpoint list")
+            self._fail("response is not a snapshot of the endpoint list")
         else:
-            self._enter(WatchState.WATCHING)
+            self._set_state(WatchState.WATCHING)
             self._snapshot = b""
             self._send_request(endpoint_keys.WATCH_TARGET.format(version=self._consumer.version))
 
@@ -149,13 +149,13 @@
             self._transport.abort()
 
     def abort(self) -> None:
-        """Close the connection at once, if there is one."""
+        """Close the transport immediately, if there is one."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Tell the watch that this connection has ended."""
-        self._enter(WatchState.CLOSED)
-        if not self.closed.done():  # it is cancelled together with a task that waits for it
+        """Notify the watch that this connection is closed."""
+        self._set_state(WatchState.CLOSED)
+        if not self.closed.done():  # cancelling the task that awaits it also cancels the future
             self.closed.set_result(None)
         self._consumer.wake_up()
--- a/gateway/discovery/watch_supervisor.py
+++ b/gateway/discovery/watch_supervisor.py
@@ -1,4 +1,4 @@
-"""Decides when a watch needs another connection to its agent, and opens it."""
+"""Opens new connections to a discovery agent when the active one needs a replacement."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
     from gateway.discovery.connection_set import WatchConnectionSet
     from gateway.discovery.watch_connection import WatchConnection
 
-MIN_RETRY_DELAY_SECONDS = 0.25  # between attempts; well within the time that an endpoint drains for
-MAX_RETRY_DELAY_SECONDS = 0.5  # between attempts on an agent that responds
-LASTING_ATTEMPT_SECONDS = 2 * MAX_RETRY_DELAY_SECONDS  # an attempt that lasted longer needs no backoff
+MIN_RETRY_DELAY_SECONDS = 0.25  # between attempts; well below 1 s, for which an endpoint may drain
+MAX_RETRY_DELAY_SECONDS = 0.5  # between attempts while the agent responds
+BACKOFF_RESET_SECONDS = 2 * MAX_RETRY_DELAY_SECONDS  # reset the backoff if the last attempt is older
 
 
-class SupervisedWatch(Protocol):
-    """What the supervisor needs of its watch."""
+class WatchStatus(Protocol):
+    """What the supervisor needs to know about its watch."""
 
     @property
     def active_connection(self) -> WatchConnection | None:
-        """The connection whose updates count; None before the first complete list."""
+        """The connection whose updates are published; None before the first snapshot."""
         ...
 
-    def seconds_until_silent(self) -> float:
-        """Return for how long no other connection is needed; 0 or less if one is needed now."""
+    def seconds_until_replacement(self) -> float:
+        """Return the seconds until the active connection needs a replacement; 0 or less if it does now."""
         ...
 
 
 class WatchSupervisor:
-    """Attempts new connections, with a backoff, for as long as the active one is not sufficient.
+    """Attempts new connections, with a backoff, while the active connection needs a replacement.
 
-    It runs in a task of its own until it is closed.
+    It runs in its own task until it is closed.
     """
 
     def __init__(
-        self, watch: SupervisedWatch, connections: WatchConnectionSet, loop: asyncio.AbstractEventLoop
+        self, watch: WatchStatus, connections: WatchConnectionSet, loop: asyncio.AbstractEventLoop
     ) -> None:
         self._watch = watch
         self._connections = connections
         self._woken_up = asyncio.Event()
         self._backoff = Backoff(MIN_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS)
-        self._newest: WatchConnection | None = None  # the last that was attempted
-        self._attempted_at = 0.0  # monotonic seconds
+        self._last_attempt: WatchConnection | None = None  # the most recently opened connection
+        self._attempted_at = 0.0  # monotonic time of the last attempt, in seconds
         self._task = loop.create_task(self._run())
 
     async def _run(self) -> None:
         while True:
-            seconds = self._watch.seconds_until_silent()
+            seconds = self._watch.seconds_until_replacement()
             if seconds > 0:
                 await self._wait_until_woken_up(seconds)
             else:
@@ -58,20 +58,20 @@
                 await asyncio.sleep(self._backoff.seconds)
 
     def _attempt_connection(self) -> None:
-        has_lasted = time.monotonic() - self._attempted_at > LASTING_ATTEMPT_SECONDS
-        if self._is_responding() and not has_lasted:
-            self._backoff.lengthen()  # an agent that responds gets fewer attempts
+        is_last_attempt_old = time.monotonic() - self._attempted_at > BACKOFF_RESET_SECONDS
+        if self._is_responding() and not is_last_attempt_old:
+            self._backoff.lengthen()  # attempt less often while the agent responds
         else:
             self._backoff.reset()
-        self._newest = self._connections.open(kept=self._watch.active_connection)
+        self._last_attempt = self._connections.open(keep=self._watch.active_connection)
         self._attempted_at = time.monotonic()
 
     def _is_responding(self) -> bool:
-        """Return whether any byte came on an attempt that is open, or on the newest attempt."""
+        """Return whether bytes were received on the last attempt, or on any other that is still open."""
         active = self._watch.active_connection
         attempts = [connection for connection in self._connections if connection is not active]
-        if self._newest is not None:
-            attempts.append(self._newest)
+        if self._last_attempt is not None:
+            attempts.append(self._last_attempt)
         return any(connection.has_received for connection in attempts)
 
     async def _wait_until_woken_up(self, timeout_seconds: float) -> None:
@@ -81,9 +81,9 @@
                 await self._woken_up.wait()
 
     def wake_up(self) -> None:
-        """Look at the watch again at once."""
+        """Check the watch immediately."""
         self._woken_up.set()
 
     def close(self) -> None:
-        """Attempt no further connection."""
+        """Stop attempting connections."""
         self._task.cancel()
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""Updates from an agent to the policy, and the move from one agent to another."""
+"""The discovery client with fake agents: updates for the policy, and a change of address."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     FIRST_ENDPOINT_ID,
     SECOND_ENDPOINT,
     GatedAgent,
-    discovering,
+    discovery_client_for,
     update_json,
 )
 from tests.support.event_loop import async_test, until
@@ -18,11 +18,11 @@
 
 
 @async_test
-async def test_lists_and_changes_reach_the_policy() -> None:
-    line = host_entry("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
-    gone = line | {"health": "Gone"}
-    agent = FakeDiscoveryAgent([update_json(42, line, complete=True), b"", update_json(43, gone)])
-    async with discovering(agent.handle) as (_, received):
+async def test_snapshots_and_deltas_are_decoded_and_passed_on() -> None:
+    entry = host_entry("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
+    gone = entry | {"health": "Gone"}
+    agent = FakeDiscoveryAgent([update_json(42, entry, complete=True), b"", update_json(43, gone)])
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(received.updates) == 3)
         assert agent.targets == ["/api/targets", "/api/targets?watch=1&from=41"]
         _, snapshot, delta = received.updates
@@ -39,15 +39,15 @@
         assert delta.records[0].state is EndpointState.GONE
 
 
-# Guards against a gap when the configuration names another agent: the old list and its changes count until
-# the new agent's complete list is there, whatever its versions, and the old agent is left alone then.
+# Guards against missed updates while the address of the agent changes: updates of the old agent are applied
+# until the new agent has sent a snapshot, of whatever version, and then the old agent is disconnected.
 @async_test
-async def test_a_new_agent_takes_over_with_its_complete_list() -> None:
+async def test_a_new_agent_is_used_once_it_has_sent_a_snapshot() -> None:
     old_agent = FakeDiscoveryAgent(snapshot=update_json(90, FIRST_ENDPOINT, complete=True))
     new_agent = GatedAgent(snapshot=update_json(3, SECOND_ENDPOINT, complete=True))
     async with (
         listening(new_agent.handle) as new_address,
-        discovering(old_agent.handle) as (client, received),
+        discovery_client_for(old_agent.handle) as (client, received),
     ):
         await until(lambda: len(old_agent.targets) == 2)
         client.change_address(parse_address(new_address))
--- a/tests/discovery/test_endpoint_decoder.py
+++ b/tests/discovery/test_endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and changes out of parsed JSON, and endpoint ids out of host names."""
+"""Decoding of endpoint lists and deltas, and endpoint ids derived from host names."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     return make_decoder()
 
 
-def test_host_names_map_to_the_same_ids_on_every_gateway() -> None:
+def test_endpoint_ids_depend_on_the_host_name_alone() -> None:
     assert derive_endpoint_id("s-5be2a07c") == 0x5BE2A07C
     assert derive_endpoint_id("worker-7") == derive_endpoint_id("worker-7")
     assert derive_endpoint_id("worker-7") != derive_endpoint_id("worker-8")
     assert 0 <= derive_endpoint_id("s-5BE2A07C") < 1 << 32
 
 
-def test_an_unreadable_list_does_not_remove_all_endpoints(decoder: EndpointDecoder) -> None:
+def test_a_list_of_malformed_endpoints_does_not_remove_all_endpoints(decoder: EndpointDecoder) -> None:
     decoder.decode_update({"seq": 1, "whole": True, "hosts": [FIRST_ENDPOINT]})
-    with pytest.raises(MalformedUpdateError, match="no endpoint of 1"):
+    with pytest.raises(MalformedUpdateError, match="no valid endpoint among 1"):
         decoder.decode_update({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
     assert decoder.host_names == {FIRST_ENDPOINT_ID: "s-00000007"}
 
 
-# Guards against growth: endpoints are replaced all day by ones of ever new names.
-def test_host_names_of_gone_endpoints_are_forgotten(decoder: EndpointDecoder) -> None:
+# Guards against unbounded memory: restarted endpoints get new host names.
+def test_host_names_of_gone_endpoints_are_removed(decoder: EndpointDecoder) -> None:
     for number in range(50):
-        line = host_entry(f"s-{number:08x}", "127.0.0.1:81")
-        decoder.decode_update({"seq": 2 * number, "whole": False, "hosts": [line]})
-        decoder.decode_update({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
+        entry = host_entry(f"s-{number:08x}", "127.0.0.1:81")
+        decoder.decode_update({"seq": 2 * number, "whole": False, "hosts": [entry]})
+        decoder.decode_update({"seq": 2 * number + 1, "whole": False, "hosts": [entry | {"health": "Gone"}]})
     assert decoder.host_names == {}
 
 
-def test_two_host_names_with_one_id_are_not_taken_for_one_endpoint(
+def test_a_host_name_with_the_id_of_another_is_skipped(
     decoder: EndpointDecoder, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(endpoint_decoder, "derive_endpoint_id", lambda _: 7)
@@ -64,10 +64,10 @@
         pytest.param("dial", "127.0.0.1", id="address"),
     ],
 )
-def test_an_error_names_the_malformed_field_and_its_value(
+def test_errors_name_the_malformed_field_and_its_value(
     field: str, value: Any, decoder: EndpointDecoder
 ) -> None:
     with pytest.raises(MalformedEndpointError) as raised:
         decoder.decode_record(FIRST_ENDPOINT | {field: value})
-    assert str(raised.value) == f"host 's-00000007' has an unusable {field}: {value!r}"
+    assert str(raised.value) == f"host 's-00000007' has an invalid {field}: {value!r}"
     assert isinstance(raised.value, DiscoveryError)
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on one agent: malformed updates, outdated lists, and the replacement of silent connections."""
+"""The watch on one agent: malformed and outdated updates, and the replacement of silent connections."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     SECOND_ENDPOINT,
     SECOND_ENDPOINT_ID,
     AgentFault,
+    DelayedResponseAgent,
     FaultyAgent,
-    OvertakenAgent,
     PartitionedAgent,
     ReceivedUpdates,
     SlowAgent,
-    discovering,
+    discovery_client_for,
     update_json,
 )
 from tests.support.event_loop import async_test, until
 from tests.support.fake_discovery import END_OF_WATCH, FakeDiscoveryAgent
 
-CHANGE_KNOWN_WITHIN_SECONDS = 6.0  # by the operators' terms
-FAULTY_ATTEMPTS = 4  # after which an update still has to be known in that time
+MAX_UPDATE_DELAY_SECONDS = 6.0  # required by the operators
+FAULTY_ATTEMPTS = 4  # consecutive failures after which an update must still be received within that time
 
 
 @pytest.fixture
 def no_silence_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silence alone would have the list fetched again."""
+    """Disable the silence timeout, which would also cause a new snapshot to be fetched."""
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_SECONDS", 1000.0)
 
 
@@ -41,79 +41,79 @@
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_SECONDS", 0.1)
 
 
-async def check_that_the_update_behind_is_read(received: ReceivedUpdates) -> None:
-    """Check that the agent's second line, version 43, is read behind the malformed first one."""
+async def check_that_the_next_update_is_applied(received: ReceivedUpdates) -> None:
+    """Check that the update after the malformed one, of version 43, is applied."""
     await received.until_version(43)
     assert received.endpoint_ids == [FIRST_ENDPOINT_ID]
     assert received.versions in ([FIRST_VERSION, 43], [FIRST_VERSION, 42, 43])
 
 
-async def check_that_the_list_is_fetched_again(agent: FakeDiscoveryAgent, received: ReceivedUpdates) -> None:
-    """Check that a complete list comes on a new connection, and that the old one ends then."""
+async def check_that_a_new_snapshot_is_fetched(agent: FakeDiscoveryAgent, received: ReceivedUpdates) -> None:
+    """Check that a snapshot is fetched on a new connection, and that the old connection is then closed."""
     agent.watch_lines.clear()
     agent.snapshot = update_json(44, SECOND_ENDPOINT, complete=True)
     await until(lambda: received.last_version == 44 and agent.open == 1)
     assert [record.endpoint_id for record in received.updates[-1].records] == [SECOND_ENDPOINT_ID]
 
 
-# Guards against a drain that is lost with what could not be read: what comes behind it counts at once, and
-# the complete list is fetched again.  The old connection is read until that is there, and ends then.
+# Guards against a missed drain in a malformed update: later updates are applied immediately, and a new
+# snapshot is fetched.  The old connection is read until the snapshot is received, and then closed.
 @pytest.mark.parametrize(
     ("malformed", "needs_resync"),
     [
-        pytest.param(b"{", True, id="never closed"),
+        pytest.param(b"{", True, id="unclosed"),
         pytest.param(b"[]", True, id="not an object"),
-        pytest.param(b'{"seq":1}', True, id="without a list"),
-        # One malformed endpoint is no reason to fetch the list again.
-        pytest.param(update_json(42, 7), False, id="endpoint that is no object"),
+        pytest.param(b'{"seq":1}', True, id="no list of hosts"),
+        # A malformed endpoint does not cause a new snapshot to be fetched.
+        pytest.param(update_json(42, 7), False, id="endpoint is not an object"),
         pytest.param(update_json(42, {"host": "s-00000001"}), False, id="endpoint without fields"),
-        pytest.param(b"\xff\xfe", True, id="not text"),
-        pytest.param(b'"', True, id="quote"),
-        pytest.param(b"}{", True, id="brackets"),
+        pytest.param(b"\xff\xfe", True, id="invalid UTF-8"),
+        pytest.param(b'"', True, id="unterminated string"),
+        pytest.param(b"}{", True, id="unbalanced brackets"),
     ],
 )
 @pytest.mark.usefixtures("no_silence_timeout")
 @async_test
-async def test_malformed_updates_are_skipped_and_the_list_is_fetched_again(
+async def test_malformed_updates_are_skipped_and_a_new_snapshot_is_fetched(
     caplog: pytest.LogCaptureFixture, *, malformed: bytes, needs_resync: bool
 ) -> None:
     agent = FakeDiscoveryAgent([malformed, update_json(43, FIRST_ENDPOINT)])
-    async with discovering(agent.handle) as (_, received):
-        await check_that_the_update_behind_is_read(received)
+    async with discovery_client_for(agent.handle) as (_, received):
+        await check_that_the_next_update_is_applied(received)
         if needs_resync:
-            await check_that_the_list_is_fetched_again(agent, received)
+            await check_that_a_new_snapshot_is_fetched(agent, received)
     assert "skipped" in caplog.text
 
 
-# Guards against a drain that is sent on a connection made while the agent was cut off: it accepts that
-# connection and never responds on it, and the time to drain runs from its return.
+# Guards against a missed drain after a network partition: the agent never responds on connections made during
+# the partition, and the drain time of an endpoint starts when the partition ends.
 @async_test
-async def test_the_list_of_a_returning_agent_is_read_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_snapshot_is_fetched_soon_after_a_partition(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT_SECONDS", 0.3)
-    cut_off = asyncio.Event()
-    agent = PartitionedAgent(cut_off.is_set)
-    async with discovering(agent.handle) as (client, received):
+    is_partitioned = asyncio.Event()
+    agent = PartitionedAgent(is_partitioned.is_set)
+    async with discovery_client_for(agent.handle) as (client, received):
         await until(lambda: len(agent.targets) == 2)
-        cut_off.set()
+        is_partitioned.set()
         await until(lambda: agent.attempts == 8)
         (watch,) = client.agent_watches
-        assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # descriptors are bounded
-        returned_at = time.monotonic()
-        cut_off.clear()
+        assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # bounds the file descriptors
+        recovered_at = time.monotonic()
+        is_partitioned.clear()
         agent.snapshot = update_json(42, complete=True)
         await received.until_version(42)
-        # Sooner than an attempt made before its return would have been given up.
-        assert time.monotonic() - returned_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
-        await until(lambda: agent.open == 1)  # the silent connection has ended
+        # Sooner than an attempt made during the partition would have timed out.
+        assert time.monotonic() - recovered_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
+        await until(lambda: agent.open == 1)  # the silent connection is closed
 
 
-# Guards against a connection that is closed as soon as it falls silent: what it still brings counts until
-# another has brought the complete list.
+# Guards against a connection that is closed as soon as it is silent: its updates are applied until another
+# connection has received a snapshot.
 @pytest.mark.usefixtures("short_silence_timeout")
 @async_test
-async def test_a_silent_connection_is_read_until_another_takes_over() -> None:
+async def test_a_silent_connection_is_read_until_it_is_replaced() -> None:
     agent = PartitionedAgent(lambda: bool(agent.targets))
-    async with discovering(agent.handle) as (_, received):
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: agent.attempts)
         agent.watch_lines.append(update_json(42))
         await received.until_version(42)
@@ -122,20 +122,20 @@
 @pytest.mark.usefixtures("short_silence_timeout")
 @async_test
 async def test_a_silent_connection_is_replaced() -> None:
-    """A machine that vanished leaves its connections open; the watch must not depend on one for ever."""
+    """A machine that crashed leaves its connections open, so silence must cause a reconnect."""
     agent = FakeDiscoveryAgent()
-    async with discovering(agent.handle):
+    async with discovery_client_for(agent.handle):
         await until(lambda: len(agent.targets) == 4)
 
 
-# Guards against endpoints that come back into use by an older list: an agent does not go back on one
-# connection.  One that counts anew is asked for its complete list.
+# Guards against removed endpoints that an outdated snapshot would bring back.  An agent that restarts its
+# version numbers also sends a lower version, so a new snapshot is fetched instead.
 @pytest.mark.usefixtures("no_silence_timeout")
 @async_test
-async def test_a_list_older_than_the_known_version_is_not_applied() -> None:
+async def test_a_snapshot_of_an_older_version_is_not_applied() -> None:
     outdated = update_json(42, FIRST_ENDPOINT, complete=True)
     agent = FakeDiscoveryAgent([update_json(50), outdated])
-    async with discovering(agent.handle) as (_, received):
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) >= 4)
         assert 42 not in received.versions
         agent.watch_lines.clear()
@@ -143,36 +143,37 @@
         await received.until_version(7)
 
 
-# Guards against a list that keeps coming, in small pieces: it is not waited for, and others are attempted.
+# Guards against waiting for a snapshot that arrives in small pieces without end: other connections are
+# attempted.
 @async_test
-async def test_a_list_that_comes_too_slowly_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_attempt_with_a_slow_snapshot_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_set, "SNAPSHOT_TIMEOUT_SECONDS", 0.3)
     agent = SlowAgent()
-    async with discovering(agent.handle) as (_, received):
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: agent.slow_responses)
         agent.is_slow = False
         await until(lambda: received.updates and not agent.slow_responses)
 
 
-# Guards against a change that is lost with a closed connection, and against an agent that starts again and
-# counts from a lower version: its changes must not be taken for known ones.
+# Guards against changes missed while the connection was closed, and against a restarted agent whose versions
+# are lower: its deltas must not be treated as outdated.
 @async_test
-async def test_a_closed_connection_is_replaced_starting_with_the_complete_list() -> None:
+async def test_a_new_connection_after_a_closed_one_starts_with_a_snapshot() -> None:
     agent = FakeDiscoveryAgent([update_json(44), END_OF_WATCH])
-    async with discovering(agent.handle) as (_, received):
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
         agent.watch_lines.clear()
         agent.snapshot = update_json(7, FIRST_ENDPOINT, complete=True)
         await until(lambda: len(agent.targets) == 4)
         assert agent.targets[3] == "/api/targets?watch=1&from=7"
-        agent.watch_lines += [update_json(7), update_json(8)]  # the first of these is known already
+        agent.watch_lines += [update_json(7), update_json(8)]  # the first of these is outdated
         await received.until_version(8)
         assert received.versions == [FIRST_VERSION, 44, 7, 8]
 
 
-async def seconds_until_known(agent: FaultyAgent) -> float:
-    """Return how long a change takes to be known that the agent has from the moment it falls silent."""
-    async with discovering(agent.handle) as (_, received):
+async def measure_update_delay(agent: FaultyAgent) -> float:
+    """Return the seconds until a change is received that occurs when the agent becomes faulty."""
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
         changed_at = time.monotonic()
         agent.remaining = FAULTY_ATTEMPTS
@@ -181,48 +182,48 @@
         return time.monotonic() - changed_at
 
 
-# Guards the term that a change counts as known 6 s after discovery had it and could be reached, whatever
-# calls failed: the time of a silence and that of failed attempts must not add up to more.
+# Guards the operators' requirement that a change is received within 6 s after discovery has it and is
+# reachable: the silence timeout and the failed attempts together must not take longer.
 @async_test
-async def test_a_change_is_known_in_time_whatever_fault_the_first_attempts_meet() -> None:
+async def test_a_change_is_received_in_time_after_failed_attempts_of_each_kind() -> None:
     agents = [FaultyAgent(fault) for fault in AgentFault]
-    seconds = await asyncio.gather(*map(seconds_until_known, agents))
+    seconds = await asyncio.gather(*map(measure_update_delay, agents))
     assert [agent.attempts for agent in agents] == [FAULTY_ATTEMPTS] * len(agents)
-    assert max(seconds) < CHANGE_KNOWN_WITHIN_SECONDS, dict(zip(AgentFault, seconds, strict=True))
+    assert max(seconds) < MAX_UPDATE_DELAY_SECONDS, dict(zip(AgentFault, seconds, strict=True))
 
 
-async def seconds_until_recovered(agent: FaultyAgent) -> float:
-    """Return how long the return of an agent takes to be known that had a fault for long."""
-    async with discovering(agent.handle) as (client, received):
+async def measure_recovery_delay(agent: FaultyAgent) -> float:
+    """Return the seconds until a snapshot is received after an agent was faulty for a long time."""
+    async with discovery_client_for(agent.handle) as (client, received):
         await until(lambda: len(agent.targets) == 2)
         agent.remaining = 1000
         await until(lambda: agent.attempts == endpoint_watch.MAX_CONNECTIONS + 2)
         (watch,) = client.agent_watches
-        assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # descriptors are bounded
-        returned_at = time.monotonic()
+        assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # bounds the file descriptors
+        recovered_at = time.monotonic()
         agent.remaining = 0
         agent.snapshot = update_json(42, complete=True)
         await received.until_version(42)
-        return time.monotonic() - returned_at
+        return time.monotonic() - recovered_at
 
 
-# Guards the same term for an agent that has a fault for long: its return is known soon, in whatever state the
-# attempts were that were made before.
+# Guards the same requirement after a long fault: whatever state the earlier attempts are in, a snapshot is
+# received soon after the agent recovers.
 @async_test
-async def test_the_return_of_a_faulty_agent_is_known_soon() -> None:
-    seconds = await asyncio.gather(*(seconds_until_recovered(FaultyAgent(fault)) for fault in AgentFault))
-    assert max(seconds) < CHANGE_KNOWN_WITHIN_SECONDS / 3, dict(zip(AgentFault, seconds, strict=True))
+async def test_a_snapshot_is_received_soon_after_a_long_fault() -> None:
+    seconds = await asyncio.gather(*(measure_recovery_delay(FaultyAgent(fault)) for fault in AgentFault))
+    assert max(seconds) < MAX_UPDATE_DELAY_SECONDS / 3, dict(zip(AgentFault, seconds, strict=True))
 
 
-# Guards against endpoints that come back into use by a list that was made first and was complete last.
+# Guards against removed endpoints that a delayed response with an outdated snapshot would bring back.
 @async_test
-async def test_a_list_that_came_slowly_does_not_replace_a_newer_one() -> None:
-    agent = OvertakenAgent(
-        old_list=update_json(41, FIRST_ENDPOINT, complete=True),
-        new_list=update_json(42, complete=True),
+async def test_a_delayed_outdated_snapshot_does_not_replace_a_newer_one() -> None:
+    agent = DelayedResponseAgent(
+        old_snapshot=update_json(41, FIRST_ENDPOINT, complete=True),
+        new_snapshot=update_json(42, complete=True),
     )
-    async with discovering(agent.handle) as (_, received):
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
-        agent.may_finish_old.set()
+        agent.may_finish.set()
         await asyncio.sleep(0.1)
         assert received.versions == [42]
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON documents out of a byte stream, without sockets."""
+"""Splitting a byte stream into JSON documents, without sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def feed_in_pieces(text: bytes, size: int) -> list[bytes]:
-    """Return the documents of a text that comes in pieces of this size, in bytes."""
+    """Feed a text in pieces of a size in bytes, and return the documents."""
     stream = JsonStream()
     documents = []
     for start in range(0, len(text), size):
@@ -22,22 +22,22 @@
     return documents
 
 
-# Guards against an update that is complete only with the first byte of the next one, at any cut of the bytes.
+# Guards against an update that is not returned until the next one begins, wherever the bytes are split.
 @pytest.mark.parametrize("size", [1, 7, 100_000])
 @pytest.mark.parametrize("indent", [None, 0, 2])
-def test_documents_are_complete_with_their_last_byte(size: int, indent: int | None) -> None:
+def test_documents_are_returned_with_their_last_byte(size: int, indent: int | None) -> None:
     text = json.dumps(json.loads(UPDATE), indent=indent).encode()
     assert feed_in_pieces(text, size) == [text]
 
 
-def test_an_empty_line_is_a_heartbeat() -> None:
+def test_empty_lines_are_returned_as_empty_documents() -> None:
     assert JsonStream().feed(b"\n" + UPDATE + b"\n\n") == [b"", UPDATE, b"", b""]
 
 
 @pytest.mark.parametrize(
-    "separator", [pytest.param(b"\n", id="line end"), pytest.param(b"\n\n", id="empty line")]
+    "separator", [pytest.param(b"\n", id="newline"), pytest.param(b"\n\n", id="empty line")]
 )
-def test_an_update_behind_one_that_never_closes_is_not_lost(separator: bytes) -> None:
+def test_an_update_after_an_unclosed_document_is_not_lost(separator: bytes) -> None:
     documents = JsonStream().feed(b'{"seq":' + separator + UPDATE + b"\n")
     assert documents[0] == b'{"seq":'
     assert UPDATE in documents
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -1,4 +1,4 @@
-"""What a connection to an agent makes of the bytes that come on it."""
+"""One connection to a discovery agent: parsing of the received bytes, and the bound on their size."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     CHUNKED_RESPONSE_HEAD,
     END_OF_HEAD,
     FIRST_VERSION,
-    discovering,
+    discovery_client_for,
     update_json,
 )
 from tests.support.event_loop import async_test, until
@@ -23,8 +23,8 @@
     import asyncio
 
 
-class WrittenAgent(FakeDiscoveryAgent):
-    """An agent whose watch is a given text, in chunks of a given size in bytes."""
+class ChunkedTextAgent(FakeDiscoveryAgent):
+    """An agent that sends a given text on its watch, in chunks of a given size in bytes."""
 
     def __init__(self, snapshot: bytes, text: bytes, chunk_size: int) -> None:
         super().__init__(snapshot=snapshot)
@@ -43,25 +43,27 @@
         await reader.read()
 
 
-# Guards against changes that are never read as they come over several lines, or late as what ends them is
-# the next line's first byte; and against a chunk that ends anywhere.
+# Guards against updates that are lost because they span several lines or chunks, and against updates that are
+# not applied until the next one begins.
 @pytest.mark.parametrize("size", [1, 7, 100_000])
 @pytest.mark.parametrize("indent", [None, 0, 2])
 @async_test
-async def test_changes_are_read_however_they_are_written(size: int, indent: int | None) -> None:
-    line = host_entry('s-"{[', "127.0.0.1:81")
-    raw = json.loads(update_json(42, line, line | {"host": "s-00000008"}))
-    whole = json.dumps(raw | {"seq": FIRST_VERSION, "whole": True}, indent=1).encode()
+async def test_updates_are_applied_however_they_are_formatted_and_chunked(
+    size: int, indent: int | None
+) -> None:
+    entry = host_entry('s-"{[', "127.0.0.1:81")
+    raw = json.loads(update_json(42, entry, entry | {"host": "s-00000008"}))
+    snapshot = json.dumps(raw | {"seq": FIRST_VERSION, "whole": True}, indent=1).encode()
     text = json.dumps(raw, indent=indent).encode() + b"\n\n" + json.dumps(raw | {"seq": 43}).encode()
-    agent = WrittenAgent(whole, text, size)
-    async with discovering(agent.handle) as (_, received):
+    agent = ChunkedTextAgent(snapshot, text, size)
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(received.updates) == 3)
         assert received.versions == [FIRST_VERSION, 42, 43]
         assert all(len(update.records) == 2 for update in received.updates)
 
 
-class EndlessAgent(FakeDiscoveryAgent):
-    """An agent whose endpoint list does not end."""
+class EndlessSnapshotAgent(FakeDiscoveryAgent):
+    """An agent whose snapshot does not end."""
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(END_OF_HEAD)
@@ -71,9 +73,9 @@
 
 
 @async_test
-async def test_a_list_that_is_too_long_ends_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_snapshot_that_is_too_long_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_connection, "MAX_UPDATE_BYTES", 1000)
-    agent = EndlessAgent()
-    async with discovering(agent.handle) as (_, received):
+    agent = EndlessSnapshotAgent()
+    async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
         assert not received.updates
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,4 +1,4 @@
-"""What the tests of endpoint discovery share: updates as JSON, a client of a fake agent, faulty agents."""
+"""Helpers for the tests of endpoint discovery: updates as JSON, a client of a fake agent, faulty agents."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
     from gateway.policy.events import EndpointUpdate
 
-FIRST_VERSION = 41  # of the list that a fake agent has at the start
+FIRST_VERSION = 41  # of the initial snapshot of a fake agent
 CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BLANK_CHUNK = b"1\r\n \r\n"
 END_OF_HEAD = b"\r\n\r\n"
@@ -34,7 +34,7 @@
 
 
 def update_json(version: int, *hosts: Any, complete: bool = False) -> bytes:
-    """Return an endpoint list, or a delta, as an agent sends it."""
+    """Return a snapshot or a delta as an agent sends it."""
     return json.dumps({"seq": version, "whole": complete, "hosts": hosts}).encode()
 
 
@@ -64,7 +64,7 @@
 
     @property
     def endpoint_ids(self) -> list[int]:
-        """The endpoints of all updates, in order."""
+        """The endpoint ids of all updates, in order."""
         return [record.endpoint_id for update in self.updates for record in update.records]
 
     async def until_version(self, version: int) -> None:
@@ -73,8 +73,8 @@
 
 
 @contextlib.asynccontextmanager
-async def discovering(handler: Handler) -> AsyncIterator[tuple[DiscoveryClient, ReceivedUpdates]]:
-    """Run a client of the agent whose connections the handler serves."""
+async def discovery_client_for(handler: Handler) -> AsyncIterator[tuple[DiscoveryClient, ReceivedUpdates]]:
+    """Run an agent, whose connections the handler serves, and a client of it."""
     async with listening(handler) as address:
         received = ReceivedUpdates()
         client = DiscoveryClient(parse_address(address), make_decoder(), received.append)
@@ -97,15 +97,15 @@
 
 
 class PartitionedAgent(FakeDiscoveryAgent):
-    """An agent that accepts connections while it is cut off, and never responds on those."""
+    """An agent that never responds on connections that it accepts while it is partitioned."""
 
-    def __init__(self, is_cut_off: Callable[[], bool]) -> None:
+    def __init__(self, is_partitioned: Callable[[], bool]) -> None:
         super().__init__()
-        self.is_cut_off = is_cut_off
-        self.attempts = 0  # connections while it was cut off
+        self.is_partitioned = is_partitioned
+        self.attempts = 0  # connections accepted while partitioned
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.is_cut_off():
+        if self.is_partitioned():
             self.attempts += 1
             await reader.read()
         else:
@@ -113,23 +113,23 @@
 
 
 class AgentFault(enum.Enum):
-    """What an agent does on a connection instead of bringing its endpoint list."""
+    """What an agent does on a connection instead of sending its snapshot."""
 
-    SILENT = enum.auto()  # it never responds
-    SLOW = enum.auto()  # its response never ends
-    TRUNCATED = enum.auto()  # the end of its response never comes
+    SILENT = enum.auto()  # sends nothing
+    SLOW = enum.auto()  # sends a response without end
+    TRUNCATED = enum.auto()  # never sends the end of the response
     ERROR_STATUS = enum.auto()
     RESET = enum.auto()
 
 
 class FaultyAgent(FakeDiscoveryAgent):
-    """An agent that says nothing on an open watch, and has a fault on the next `remaining` connections."""
+    """An agent that sends no updates on its watch, and has a fault on the next `remaining` connections."""
 
     def __init__(self, fault: AgentFault) -> None:
         super().__init__()
         self.fault = fault
         self.remaining = 0
-        self.attempts = 0  # connections that had the fault
+        self.attempts = 0  # connections with the fault
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.remaining <= 0:
@@ -145,7 +145,7 @@
         await reader.read()
 
     async def respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Respond to a request, with the fault."""
+        """Respond to a request as the fault requires."""
         match self.fault:
             case AgentFault.ERROR_STATUS:
                 writer.write(http_response(500))
@@ -159,7 +159,7 @@
 async def respond_without_end(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pause_seconds: float
 ) -> None:
-    """Write a response of blank chunks until the client closes the connection."""
+    """Send a response of blank chunks until the client closes the connection."""
     writer.write(CHUNKED_RESPONSE_HEAD)
     while not (writer.is_closing() or reader.at_eof()):
         writer.write(BLANK_CHUNK)
@@ -173,7 +173,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.is_slow = True
-        self.slow_responses = 0  # that are being sent
+        self.slow_responses = 0  # responses in progress
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if not self.is_slow:
@@ -185,14 +185,14 @@
         self.slow_responses -= 1
 
 
-class OvertakenAgent(FakeDiscoveryAgent):
-    """An agent that completes its first response, which has an old list, once `may_finish_old` is set."""
+class DelayedResponseAgent(FakeDiscoveryAgent):
+    """An agent that completes its first response, an outdated snapshot, once `may_finish` is set."""
 
-    def __init__(self, old_list: bytes, new_list: bytes) -> None:
-        super().__init__(snapshot=new_list)
-        self.old_list = old_list
+    def __init__(self, old_snapshot: bytes, new_snapshot: bytes) -> None:
+        super().__init__(snapshot=new_snapshot)
+        self.old_snapshot = old_snapshot
         self.connections = 0
-        self.may_finish_old = asyncio.Event()
+        self.may_finish = asyncio.Event()
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -200,8 +200,8 @@
             await super().handle(reader, writer)
             return
         await reader.readuntil(END_OF_HEAD)
-        response = http_response(body=self.old_list)
+        response = http_response(body=self.old_snapshot)
         writer.write(response[:-1])
-        await self.may_finish_old.wait()
+        await self.may_finish.wait()
         writer.write(response[-1:])
         await reader.read()
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery agent, and the endpoints that it lists."""
+"""A fake discovery agent, and the entries of its endpoint list."""
 
 from __future__ import annotations
 
@@ -11,19 +11,25 @@
 from tests.support.fake_server import FakeServer
 from tests.support.http_messages import http_response, read_message
 
-END_OF_WATCH = b"<end>"
+END_OF_WATCH = b"<end>"  # a line at which the agent closes the connection
 
 
 @dataclass
 class FakeDiscoveryAgent(FakeServer):
-    """Discovery: the snapshot, then a watch that gets the lines put into `watch_lines`, one chunk a line."""
+    """A discovery agent.
+
+    Attributes:
+        watch_lines: The lines sent on each watch, one chunk a line; lines appended later are sent as well.
+        targets: The targets of all requests received.
+        snapshot: The response to a request for the snapshot.
+    """
 
     watch_lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
     snapshot: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer a request for the snapshot and one for a watch."""
+        """Respond to a request for the snapshot, then to a request for the watch."""
         self.targets.append((await read_message(reader)).target)
         writer.write(http_response(body=self.snapshot))
         self.targets.append((await read_message(reader)).target)
@@ -41,7 +47,7 @@
 
 
 def host_entry(name: str, dial: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
-    """Return an endpoint as an agent lists it."""
+    """Return the entry of an endpoint in the list of an agent."""
     return {
         "host": name,
         "dial": dial,
@@ -55,5 +61,5 @@
 
 
 def snapshot(version: int, hosts: list[dict[str, Any]]) -> bytes:
-    """Return an endpoint list as an agent sends it."""
+    """Return a snapshot as an agent sends it."""
     return json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
