--- a/gateway/address.py
+++ b/gateway/address.py
@@ -8,16 +8,20 @@
 
 
 class AddressError(ValueError):
-    """A value is not an address; `value` is that value."""
+    """A value is not an address of the form HOST:PORT.
+
+    Attributes:
+        value: The invalid value.
+    """
 
     def __init__(self, value: object) -> None:
-        super().__init__(f"not an address of the form HOST:PORT: {value!r}")
+        super().__init__(f"expected an address of the form HOST:PORT, got {value!r}")
         self.value = value
 
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """Where a TCP service listens."""
+    """The address of a TCP service."""
 
     host: str
     port: int
@@ -27,10 +31,10 @@
 
 
 def parse_address(text: object) -> Address:
-    """Return the address that a text gives as HOST:PORT.
+    """Parse an address of the form HOST:PORT.
 
     Raises:
-        AddressError: The text has no host, or no port from 0 to `MAX_PORT`.
+        AddressError: The host is missing, or the port is not a number from 0 to `MAX_PORT`.
     """
     host, _, port = str(text).rpartition(":")
     is_number = port.isascii() and port.isdigit()
--- a/gateway/config/__init__.py
+++ b/gateway/config/__init__.py
@@ -1,4 +1,4 @@
-"""The process configuration: the JSON file that NODE_CONFIG names, as typed values."""
+"""The process configuration: reads the JSON file named by NODE_CONFIG into typed values."""
 
 from __future__ import annotations
 
--- a/gateway/config/errors.py
+++ b/gateway/config/errors.py
@@ -4,19 +4,28 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be served; the text is one plain line."""
+    """The configuration is invalid or cannot be used; the text names the fault."""
 
 
 class MissingKeyError(ConfigError):
-    """A required key is missing; `key` is its path."""
+    """A required key is missing.
+
+    Attributes:
+        key: The path of the key.
+    """
 
     def __init__(self, key: str) -> None:
-        super().__init__(f"missing {key!r}")
+        super().__init__(f"missing key {key!r}")
         self.key = key
 
 
 class InvalidValueError(ConfigError):
-    """The value of a key is invalid; `key` is its path, and `problem` tells why, and which value it has."""
+    """The value of a key is invalid.
+
+    Attributes:
+        key: The path of the key.
+        problem: What is wrong, including the value.
+    """
 
     def __init__(self, key: str, problem: object) -> None:
         super().__init__(f"{key}: {problem}")
--- a/gateway/config/keys.py
+++ b/gateway/config/keys.py
@@ -1,33 +1,33 @@
-"""The names of the process configuration, mapped here to the names of the code.
+"""The names of environment variables and of the keys in the configuration file.
 
-Each constant is named as the field of `Config` or `ResourceLimits` that it becomes.
+Each constant has the name of the field of `Config` or `ResourceLimits` that it sets, unless noted.
 """
 
 from __future__ import annotations
 
-# Variables of the environment.
-CONFIG_PATH_VARIABLE = "NODE_CONFIG"  # the path of the configuration file
-NAME_VARIABLE = "NODE_NAME"  # name; takes precedence over the file
-LISTEN_VARIABLE = "NODE_LISTEN"  # listen; takes precedence over the file
-DISCOVERY_VARIABLE = "NODE_DISCOVERY"  # discovery; takes precedence when the file is first read
+# Environment variables.
+CONFIG_PATH_VARIABLE = "NODE_CONFIG"  # path of the configuration file
+NAME_VARIABLE = "NODE_NAME"  # name; overrides the file
+LISTEN_VARIABLE = "NODE_LISTEN"  # listen; overrides the file
+DISCOVERY_VARIABLE = "NODE_DISCOVERY"  # discovery; overrides the file at the start, but not on a reload
 
-# Keys of the file.
+# Top-level keys of the file.
 NAME = "name"
 LISTEN = "listen"
 DISCOVERY = "discovery"
 COUNTER = "counter"
 SEED = "seed"  # in hexadecimal
 CACHED_ENDPOINTS = "known"
-LIMITS = "limits"  # resource_limits, by the keys below
-SETTINGS = "settings"  # settings, whose keys are in gateway.settings_keys, and the sections below
+LIMITS = "limits"  # section from which resource_limits is computed
+SETTINGS = "settings"  # section with the policy's settings (see gateway.settings_keys) and the keys below
 
-# Keys of the section of limits.
+# Keys of the section LIMITS.
 MAX_SOCKETS = "sockets"
 MEMORY_MEGABYTES = "memory_mb"
 
-# Keys of the section of settings that are for the process alone.
+# Keys of the section SETTINGS that the process reads itself.
 MACHINE_TYPES = "host_types"
-ENDPOINT_LIMITS = "caps"
-ENDPOINT_IDLE_TIMEOUT = "conn_idle_s"  # of the section above
-EXTRA = "extra"
-MAX_REQUEST_UNITS = "most_units"  # of the section above
+ENDPOINT_LIMITS = "caps"  # section
+ENDPOINT_IDLE_TIMEOUT = "conn_idle_s"  # in the section ENDPOINT_LIMITS
+EXTRA = "extra"  # section
+MAX_REQUEST_UNITS = "most_units"  # in the section EXTRA
--- a/gateway/config/parser.py
+++ b/gateway/config/parser.py
@@ -1,4 +1,4 @@
-"""Reads the process configuration from its file and the environment."""
+"""Reads the process configuration from its file and from environment variables."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from gateway.config import keys
 from gateway.config.errors import ConfigError, InvalidValueError
 from gateway.config.resource_limits import ResourceLimits
-from gateway.config.section import Section, check_object, parse_root
+from gateway.config.section import ConfigSection, check_object, parse_root
 from gateway.config.settings_text import flatten, format_setting
 from gateway.config.values import Config
 from gateway.settings_parser import parse_settings
@@ -19,48 +19,53 @@
 
     from gateway.policy.settings import Settings
 
-MIN_SOCKETS = 64  # fewer leave nothing beside the reserved ones
+MIN_SOCKETS = 64  # with fewer, almost none remain after RESERVED_SOCKETS
 MIN_MEMORY_MEGABYTES = 16.0
 
 
 def load_config(env: Mapping[str, str], *, is_reload: bool = False) -> Config:
-    """Return the configuration in the file that NODE_CONFIG names; `again` as for `parse_config`.
+    """Read and parse the file named by NODE_CONFIG; the arguments are those of `parse_config`.
 
     Raises:
-        ConfigError: The file cannot be read, or the configuration cannot be served.
+        ConfigError: The file cannot be read, or the configuration is invalid.
     """
     path = env.get(keys.CONFIG_PATH_VARIABLE)
     if not path:
         raise ConfigError(f"{keys.CONFIG_PATH_VARIABLE} is not set")
     try:
-        with open(path, encoding="utf-8") as source:  # noqa: PTH123  # errors quote the path as it was given
+        with open(path, encoding="utf-8") as source:  # noqa: PTH123  # the error text quotes the path as given
             text = source.read()
     except (OSError, UnicodeDecodeError) as error:
-        raise ConfigError(f"cannot read the configuration: {error}") from None
+        raise ConfigError(f"cannot read the configuration file: {error}") from None
     return parse_config(text, env, is_reload=is_reload)
 
 
 def parse_config(text: str, env: Mapping[str, str], *, is_reload: bool = False) -> Config:
-    """Return the configuration that the text of a file and the environment give.
+    """Parse the text of a configuration file; environment variables override the file.
 
-    Variables of the environment take precedence over the file.  NODE_DISCOVERY does so only when the file is
-    first read: it says where discovery was at the start, so once the file is read `again` the file wins.
+    NODE_DISCOVERY names the discovery agent at the start of the process, so on a reload it is used only if
+    the file has no address.
+
+    Args:
+        text: The text of the file.
+        env: The environment variables.
+        is_reload: Whether a running process reloads its configuration.
 
     Raises:
-        ConfigError: The configuration cannot be served.
+        ConfigError: The configuration is invalid.
     """
     root = parse_root(text)
     settings_values = root.required(keys.SETTINGS, check_object)
     settings = _parse_nested_settings(settings_values)
-    settings_section = Section(settings_values, f"{keys.SETTINGS}.")
+    settings_section = ConfigSection(settings_values, f"{keys.SETTINGS}.")
     return Config(
         name=env.get(keys.NAME_VARIABLE) or root.required(keys.NAME, str),
         listen=_listen_address(root, env),
         discovery=_discovery_address(root, env, is_reload=is_reload),
         counter=_counter_address(root, settings),
         seed=root.required(keys.SEED, _hexadecimal),
-        resource_limits=_resource_limits(root.section(keys.LIMITS)),
-        max_request_units=_max_request_units(settings_section.section(keys.EXTRA)),
+        resource_limits=_resource_limits(root.subsection(keys.LIMITS)),
+        max_request_units=_max_request_units(settings_section.subsection(keys.EXTRA)),
         cached_endpoints=_cached_endpoints(root),
         settings=settings,
         machine_types=_machine_types(settings_section),
@@ -75,62 +80,66 @@
         raise ConfigError(str(error)) from None
 
 
-def _listen_address(root: Section, env: Mapping[str, str]) -> Address:
+def _listen_address(root: ConfigSection, env: Mapping[str, str]) -> Address:
     override = env.get(keys.LISTEN_VARIABLE)
     if override:
         return root.convert(keys.LISTEN_VARIABLE, override, parse_address)
     return root.required(keys.LISTEN, parse_address)
 
 
-def _discovery_address(root: Section, env: Mapping[str, str], *, is_reload: bool) -> Address:
-    address_at_start = env.get(keys.DISCOVERY_VARIABLE)
+def _discovery_address(root: ConfigSection, env: Mapping[str, str], *, is_reload: bool) -> Address:
+    initial_address = env.get(keys.DISCOVERY_VARIABLE)
     if is_reload:
-        address = root.optional(keys.DISCOVERY, address_at_start)
+        address = root.optional(keys.DISCOVERY, initial_address)
         return root.convert(keys.DISCOVERY, address, parse_address)
-    if address_at_start:
-        return root.convert(keys.DISCOVERY_VARIABLE, address_at_start, parse_address)
+    if initial_address:
+        return root.convert(keys.DISCOVERY_VARIABLE, initial_address, parse_address)
     return root.required(keys.DISCOVERY, parse_address)
 
 
-def _counter_address(root: Section, settings: Settings) -> Address | None:
+def _counter_address(root: ConfigSection, settings: Settings) -> Address | None:
     address = root.optional(keys.COUNTER)
     if address:
         return root.convert(keys.COUNTER, address, parse_address)
     if settings.has_counter:
-        raise InvalidValueError(keys.COUNTER, f"the settings need an address: {address!r}")
+        raise InvalidValueError(
+            keys.COUNTER, f"the settings require the address of a counter, got {address!r}"
+        )
     return None
 
 
-def _resource_limits(limits: Section) -> ResourceLimits:
+def _resource_limits(limits: ConfigSection) -> ResourceLimits:
     sockets = limits.required(keys.MAX_SOCKETS, int)
     memory_mb = limits.required(keys.MEMORY_MEGABYTES, float)
     if sockets < MIN_SOCKETS:
         path = f"{keys.LIMITS}.{keys.MAX_SOCKETS}"
-        raise InvalidValueError(path, f"under {MIN_SOCKETS}: {sockets}")
+        raise InvalidValueError(path, f"must be at least {MIN_SOCKETS}, got {sockets}")
     if not MIN_MEMORY_MEGABYTES <= memory_mb < float("inf"):
         path = f"{keys.LIMITS}.{keys.MEMORY_MEGABYTES}"
-        raise InvalidValueError(path, f"under {MIN_MEMORY_MEGABYTES:g}: {memory_mb:g}")
+        raise InvalidValueError(
+            path, f"must be finite and at least {MIN_MEMORY_MEGABYTES:g}, got {memory_mb:g}"
+        )
     return ResourceLimits.from_process_limits(sockets, memory_mb)
 
 
-def _max_request_units(extra: Section) -> float:
+def _max_request_units(extra: ConfigSection) -> float:
     units = extra.optional(keys.MAX_REQUEST_UNITS, "inf")
     return extra.convert(keys.MAX_REQUEST_UNITS, units, float)
 
 
-def _cached_endpoints(root: Section) -> dict[str, Any]:
+def _cached_endpoints(root: ConfigSection) -> dict[str, Any]:
     cached = root.optional(keys.CACHED_ENDPOINTS) or {}
     return root.convert(keys.CACHED_ENDPOINTS, cached, check_object)
 
 
-def _machine_types(settings: Section) -> tuple[str, ...]:
-    found = settings.optional(keys.MACHINE_TYPES, [])
-    names = found if isinstance(found, list) else [found]
+def _machine_types(settings: ConfigSection) -> tuple[str, ...]:
+    value = settings.optional(keys.MACHINE_TYPES, [])
+    names = value if isinstance(value, list) else [value]
     return tuple(map(format_setting, names))
 
 
-def _endpoint_idle_timeout(settings: Section) -> float:
-    return settings.section(keys.ENDPOINT_LIMITS).required(keys.ENDPOINT_IDLE_TIMEOUT, float)
+def _endpoint_idle_timeout(settings: ConfigSection) -> float:
+    return settings.subsection(keys.ENDPOINT_LIMITS).required(keys.ENDPOINT_IDLE_TIMEOUT, float)
 
 
 def _hexadecimal(value: object) -> int:
--- a/gateway/config/resource_limits.py
+++ b/gateway/config/resource_limits.py
@@ -1,25 +1,25 @@
-"""What the process may hold at a time, derived from the descriptors and the memory that it is given."""
+"""Limits on the connections and buffers of the process, derived from its file descriptors and memory."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RESERVED_SOCKETS = 44  # descriptors that are neither client connections nor connections to endpoints
-SURPLUS_CLIENTS_FRACTION = 1 / 16  # of the descriptors, for connections that only get a rejection
-MIN_SURPLUS_CLIENTS = 8  # connections
-BODY_MEMORY_FRACTION = 1 / 8  # of the memory, for the bodies of requests
+RESERVED_SOCKETS = 44  # descriptors that are not used for connections to clients or endpoints
+SURPLUS_CLIENTS_FRACTION = 1 / 16  # of the descriptors, for client connections that are only rejected
+MIN_SURPLUS_CLIENTS = 8  # client connections that are only rejected
+BODY_MEMORY_FRACTION = 1 / 8  # of the memory, for buffered request bodies
 BYTES_PER_MEGABYTE = 1 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """What the process may hold at a time.
+    """The limits of the process on concurrent use of its resources.
 
     Attributes:
-        max_client_connections: Client connections that are served.
-        surplus_client_connections: Further client connections that only get a rejection.
+        max_client_connections: Client connections whose requests are served.
+        surplus_client_connections: Further client connections, whose requests are only rejected.
         max_upstream_connections: Connections to endpoints.
-        max_buffered_bytes: Bytes of request bodies.
+        max_buffered_bytes: Bytes of buffered request bodies.
     """
 
     max_client_connections: int
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_process_limits(cls, sockets: int, memory_mb: float) -> ResourceLimits:
-        """Divide `sockets` descriptors and `memory_mb` megabytes of memory among the parts of the process."""
+        """Compute the limits from the number of file descriptors and the memory in megabytes."""
         surplus_client_connections = max(MIN_SURPLUS_CLIENTS, int(sockets * SURPLUS_CLIENTS_FRACTION))
         available = sockets - RESERVED_SOCKETS - surplus_client_connections
         max_client_connections = available // 2
--- a/gateway/config/section.py
+++ b/gateway/config/section.py
@@ -1,4 +1,4 @@
-"""Typed look-ups in the JSON objects of the configuration."""
+"""Typed access to the JSON objects of the configuration."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 Converted = TypeVar("Converted")
 
 
-class Section:
-    """One object of the configuration; errors name a key with its path."""
+class ConfigSection:
+    """One JSON object of the configuration; errors name the full path of a key."""
 
     def __init__(self, values: Mapping[str, Any], path: str = "") -> None:
         self._values = values
@@ -24,7 +24,7 @@
         """Return the converted value of a key.
 
         Raises:
-            MissingKeyError: There is no such key.
+            MissingKeyError: The key is missing.
             InvalidValueError: The value cannot be converted.
         """
         if key not in self._values:
@@ -32,7 +32,7 @@
         return self.convert(key, self._values[key], convert)
 
     def convert(self, key: str, value: object, convert: Callable[[Any], Converted]) -> Converted:
-        """Return a converted value, which need not be of this section; an error names it by `key`.
+        """Convert a value, which may come from elsewhere than this section; an error names it by `key`.
 
         Raises:
             InvalidValueError: The value cannot be converted.
@@ -42,33 +42,33 @@
         except (TypeError, ValueError) as error:
             raise InvalidValueError(self._path + key, error) from None
 
-    def section(self, key: str) -> Section:
-        """Return the object under a key, which must be there."""
-        return Section(self.required(key, check_object), f"{self._path}{key}.")
+    def subsection(self, key: str) -> ConfigSection:
+        """Return the object under a required key."""
+        return ConfigSection(self.required(key, check_object), f"{self._path}{key}.")
 
     def optional(self, key: str, default: Any = None) -> Any:
-        """Return the value of a key as it is, or `default` if there is none."""
+        """Return the unconverted value of a key, or `default` if the key is missing."""
         return self._values.get(key, default)
 
 
 def check_object(value: object) -> dict[str, Any]:
-    """Return the value, which has to be a JSON object.
+    """Return the value if it is a JSON object.
 
     Raises:
-        TypeError: It is of another type.
+        TypeError: The value is of another type.
     """
     if not isinstance(value, dict):
-        raise TypeError(f"not an object but of type {type(value).__name__}")
+        raise TypeError(f"expected a JSON object, got {type(value).__name__}")
     return value
 
 
-def parse_root(text: str) -> Section:
-    """Return the outermost object of the configuration file.
+def parse_root(text: str) -> ConfigSection:
+    """Parse the text of the configuration file into its top-level object.
 
     Raises:
         ConfigError: The text is not a JSON object.
     """
     try:
-        return Section(check_object(json.loads(text)))
+        return ConfigSection(check_object(json.loads(text)))
     except (TypeError, ValueError) as error:
-        raise ConfigError(f"not a JSON object: {error}") from None
+        raise ConfigError(f"cannot parse the configuration file: {error}") from None
--- a/gateway/config/settings_text.py
+++ b/gateway/config/settings_text.py
@@ -1,4 +1,4 @@
-"""Converts the nested settings of the configuration into the settings text, one path=value a line."""
+"""Converts the nested settings of the configuration into the settings text, with one path=value per line."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 def format_setting(value: object) -> str:
-    """Return a JSON value as the settings text has it."""
+    """Format a JSON value for the settings text."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Yield nested settings as the path=value lines that the settings parser reads."""
+    """Yield the path=value lines of nested settings, as the settings parser expects them."""
     if isinstance(value, dict):
-        for key, inner in value.items():
-            inner_path = f"{path}.{key}" if path else str(key)
-            yield from flatten(inner, inner_path)
+        for key, child in value.items():
+            child_path = f"{path}.{key}" if path else str(key)
+            yield from flatten(child, child_path)
     elif isinstance(value, list) and value and isinstance(value[0], dict):
         yield f"{path}.count={len(value)}"
-        for index, inner in enumerate(value):
-            yield from flatten(inner, f"{path}.{index}")
+        for index, child in enumerate(value):
+            yield from flatten(child, f"{path}.{index}")
     elif isinstance(value, list):
         yield f"{path}=" + ",".join(map(format_setting, value))
     elif value is not None:
--- a/gateway/config/values.py
+++ b/gateway/config/values.py
@@ -1,4 +1,4 @@
-"""The process configuration as typed values."""
+"""The typed values of the process configuration."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 
     Attributes:
         name: The gateway's name.
-        listen: Where clients connect.
-        discovery: Where the discovery agent listens.
-        counter: Where the shared counter listens; None without one.
-        seed: Seed of the policy's random choices.
-        resource_limits: What the process may hold at a time.
-        max_request_units: Units that one request may ask for.
-        cached_endpoints: The last endpoint list that this gateway had, as discovery sends it; empty without.
+        listen: Address on which the gateway accepts clients.
+        discovery: Address of the discovery agent.
+        counter: Address of the counter; None without a counter.
+        seed: Seed of the policy's random generator.
+        resource_limits: Limits on connections and buffered bytes.
+        max_request_units: Most units that one request may consume.
+        cached_endpoints: The last snapshot that this gateway received in an earlier run, as parsed JSON;
+            empty if there is none.
         settings: The policy's settings.
-        machine_types: Names of the endpoints' machine types; a type's index is its number.
-        endpoint_idle_timeout: Seconds after which an endpoint closes an idle connection.
+        machine_types: Names of the machine types of endpoints, in the order of their indexes.
+        endpoint_idle_timeout: Seconds after which endpoints close idle connections.
     """
 
     name: str
--- a/gateway/settings_keys.py
+++ b/gateway/settings_keys.py
@@ -1,11 +1,11 @@
-"""The names of the settings text, mapped here to the names of the code.
+"""The keys of the settings text.
 
-Each constant is named as the field of `Settings`, or of the record in it, that it becomes.
+Each constant has the name of the field of `Settings`, or of a record in it, that it sets, unless noted.
 """
 
 from __future__ import annotations
 
-# Settings.
+# Fields of Settings.
 GATEWAY_INDEX = "me"
 GATEWAY_COUNT = "peers_total"
 ZONE = "az"
@@ -15,14 +15,14 @@
 COUNTER_PRICE = "extra.counter_price"
 COUNTER_TIMEOUT = "extra.counter_timeout_s"
 SETTLES_USAGE = "extra.settles"
-MEMBERSHIP_MODE = "membership_mode"  # membership_push, by the value below
+MEMBERSHIP_MODE = "membership_mode"  # membership_push: true if the value is MEMBERSHIP_PUSH
 MEMBERSHIP_PUSH = "push"
 WEIGHT_SOURCE = "weight_source"
 REPORT_MODE = "report.how"
 REPORT_COLUMNS = "report.columns"
-PRICES_PREFIX = "penalties."  # prices, each by the name behind this prefix
+PRICES_PREFIX = "penalties."  # prices: the rest of the key is the name of the price
 
-# Rules.
+# Fields of Rules.
 ANSWER_SLACK = "rules.answer_slack_s"
 DRAIN_GRACE = "rules.drain_grace_s"
 COLD_CAPACITY_FRACTION = "rules.cold_share"
@@ -31,7 +31,7 @@
 COLD_OVERLOAD_WINDOW = "rules.fall_s"
 POLL_WITHIN = "rules.ask_within_s"
 
-# Limits.
+# Fields of Limits.
 MAX_ATTEMPTS = "caps.max_attempts"
 MAY_HEDGE = "caps.second_copies"
 MAY_CANCEL = "caps.cancel"
@@ -40,7 +40,7 @@
 MAX_RETRY_AFTER = "caps.max_retry_after_s"
 CONNECT_TIMEOUT = "caps.connect_timeout_s"
 
-# RequestClass: the number of classes, the prefix of the class with an index, and the keys behind that prefix.
+# Fields of RequestClass: the number of classes, the key prefix of one class, and the keys after that prefix.
 CLASS_COUNT = "classes.count"
 CLASS_PREFIX = "classes.{index}."
 CLASS_NAME = "name"
@@ -53,7 +53,7 @@
 CLASS_LATE_WEIGHT = "late_value"
 CLASS_STREAM = "stream"
 
-# Plan: the number of plans, the prefix of the plan with an index, and the keys behind that prefix.
+# Fields of Plan: the number of plans, the key prefix of one plan, and the keys after that prefix.
 PLAN_COUNT = "tariffs.count"
 PLAN_PREFIX = "tariffs.{index}."
 PLAN_NAME = "name"
--- a/gateway/settings_parser.py
+++ b/gateway/settings_parser.py
@@ -1,4 +1,4 @@
-"""Parser of the policy's settings: text with one path=value a line, to typed settings."""
+"""Parses the settings text, which has one path=value per line, into the policy's typed settings."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from gateway.policy.settings import DedupScope, Effect, Limits, Plan, RequestClass, Rules, Settings
 from gateway.settings_reader import SettingsReader
 
-SILENT = "silent"  # default of the report mode and of the weight source
+SILENT = "silent"  # default value of REPORT_MODE and WEIGHT_SOURCE
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings that a settings text gives; keys that are not known are skipped.
+    """Parse a settings text; unknown keys are ignored.
 
     Raises:
         SettingsError: A setting is missing or malformed.
@@ -67,8 +67,8 @@
 
 
 def _parse_prices(reader: SettingsReader) -> dict[str, float]:
-    found = reader.keys_under(keys.PRICES_PREFIX)
-    return {key.removeprefix(keys.PRICES_PREFIX): reader.number(key) for key in found}
+    price_keys = reader.keys_with_prefix(keys.PRICES_PREFIX)
+    return {key.removeprefix(keys.PRICES_PREFIX): reader.number(key) for key in price_keys}
 
 
 def _parse_classes(reader: SettingsReader) -> tuple[RequestClass, ...]:
@@ -81,7 +81,7 @@
         name=reader.text(prefix + keys.CLASS_NAME),
         latency_objective=reader.number(prefix + keys.CLASS_LATENCY_OBJECTIVE),
         deadline=reader.number(prefix + keys.CLASS_DEADLINE),
-        effect=reader.member(Effect, prefix + keys.CLASS_EFFECT, "is no effect"),
+        effect=reader.member(Effect, prefix + keys.CLASS_EFFECT),
         dedup_scope=_parse_dedup_scope(reader, prefix),
         dedup_window=reader.number(prefix + keys.CLASS_DEDUP_WINDOW, 0.0),
         priority_weight=reader.number(prefix + keys.CLASS_PRIORITY_WEIGHT),
@@ -92,7 +92,7 @@
 
 def _parse_dedup_scope(reader: SettingsReader, prefix: str) -> DedupScope:
     key = prefix + keys.CLASS_DEDUP_SCOPE
-    return reader.member(DedupScope, key, "is no scope", DedupScope.ALL.value)
+    return reader.member(DedupScope, key, DedupScope.ALL.value)
 
 
 def _parse_plans(reader: SettingsReader) -> tuple[Plan, ...]:
--- a/gateway/settings_reader.py
+++ b/gateway/settings_reader.py
@@ -1,4 +1,4 @@
-"""Typed look-ups in the settings text, which has one path=value a line."""
+"""Typed access to the settings text, which has one path=value per line."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or malformed; the text names its key and its value.
+    """A setting is missing or malformed; the text names its key and value.
 
     Attributes:
         key: The path of the setting.
-        value: The malformed value; None where the setting is missing.
+        value: The malformed value; None if the setting is missing.
     """
 
-    def __init__(self, key: str, value: str | None = None, problem: str = "") -> None:
-        text = f"missing setting {key}" if value is None else f"setting {key} {problem}: {value}"
-        super().__init__(text)
+    def __init__(self, key: str, value: str | None = None, requirement: str = "") -> None:
+        invalid = f"setting {key} must be {requirement}, got {value!r}"
+        super().__init__(f"missing setting {key}" if value is None else invalid)
         self.key = key
         self.value = value
 
 
 class SettingsReader:
-    """Typed look-ups in the path=value lines.
+    """Typed access to the path=value lines.
 
-    A look-up raises `SettingsError` if the value is malformed, or if the setting is missing and there is no
+    Each method raises `SettingsError` if the value is malformed, or if the setting is missing and has no
     default.
     """
 
@@ -38,12 +38,12 @@
             if separator:
                 self._values[key.strip()] = value.strip()
 
-    def keys_under(self, prefix: str) -> list[str]:
+    def keys_with_prefix(self, prefix: str) -> list[str]:
         """Return the keys with a prefix, in the order of their lines."""
         return [key for key in self._values if key.startswith(prefix)]
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return the value as it stands."""
+        """Return the value as text."""
         value = self._values.get(key, default)
         if value is None:
             raise SettingsError(key)
@@ -58,32 +58,33 @@
         except ValueError:
             number = math.nan
         if not math.isfinite(number):
-            raise SettingsError(key, value, "is not a number")
+            raise SettingsError(key, value, "a finite number")
         return number
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return the value as a number that has no fraction."""
+        """Return the value as an integer, which may be written as a float without a fraction."""
         number = self.number(key, default)
         if not number.is_integer():
-            raise SettingsError(key, self._values[key], "is not a whole number")
+            raise SettingsError(key, self._values[key], "an integer")
         return int(number)
 
     def boolean(self, key: str, *, default: bool | None = None) -> bool:
-        """Return whether the value is ``true``; it has to be ``true`` or ``false``."""
+        """Return the value as a boolean, written as ``true`` or ``false``."""
         default_text = None if default is None else str(default).lower()
         value = self.text(key, default_text)
         if value not in ("true", "false"):
-            raise SettingsError(key, value, "is neither true nor false")
+            raise SettingsError(key, value, "true or false")
         return value == "true"
 
     def names(self, key: str) -> tuple[str, ...]:
         """Return the names of a comma-separated list, which is empty if the setting is missing."""
         return tuple(name for name in self._values.get(key, "").split(",") if name)
 
-    def member(self, kind: type[Member], key: str, problem: str, default: str | None = None) -> Member:
-        """Return the member of an enumeration that has the value; an error tells the `problem` otherwise."""
+    def member(self, kind: type[Member], key: str, default: str | None = None) -> Member:
+        """Return the member of an enumeration with this value."""
         value = self.text(key, default)
         try:
             return kind(value)
         except ValueError:
-            raise SettingsError(key, value, problem) from None
+            names = ", ".join(str(member.value) for member in kind)
+            raise SettingsError(key, value, f"one of {names}") from None
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -1,4 +1,4 @@
-"""The process configuration: typed values, precedence of the environment, errors, and resource limits."""
+"""The process configuration: typed values, environment variables, errors, and resource limits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.support.policy import settings_text
 
 
-def test_nested_settings_read_as_the_simulators_do() -> None:
+def test_nested_settings_equal_those_of_the_settings_text() -> None:
     config = parse_config(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
     expected = parse_settings(settings_text(report__columns="latency_ms,util"))
     assert config.settings == expected
@@ -28,14 +28,14 @@
     assert config.counter == Address("127.0.0.1", 6400)
 
 
-def test_environment_takes_precedence() -> None:
+def test_environment_variables_override_the_file() -> None:
     config = parse_config(config_text([]), {"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.7:9"})
     assert config.name == "n7"
     assert config.listen == Address("127.0.0.7", 9)
 
 
-def test_file_takes_precedence_for_discovery_when_it_is_read_again() -> None:
-    """The variable says where the agent was at the start: a gateway must not stay with the old agent."""
+def test_file_overrides_discovery_variable_on_reload() -> None:
+    """The variable holds the initial address, so a reload must not return to the old agent."""
     env = {"NODE_DISCOVERY": "127.0.0.1:7"}
     text = config_text([], discovery="127.0.0.1:8")
     assert parse_config(text, env).discovery == Address("127.0.0.1", 7)
@@ -48,14 +48,14 @@
     [
         pytest.param("{", id="not JSON"),
         pytest.param("[]", id="not an object"),
-        pytest.param("{}", id="empty"),
+        pytest.param("{}", id="empty object"),
         pytest.param(config_without("listen"), id="no listen"),
         pytest.param(config_without("settings"), id="no settings"),
         pytest.param(config_without("limits"), id="no limits"),
         pytest.param(config_without("seed"), id="no seed"),
         pytest.param(config_text([], rules__warm_up_s="soon"), id="malformed setting"),
         pytest.param(config_text([], discovery="nowhere"), id="malformed address"),
-        pytest.param(config_text([]).replace('"sockets": 1024', '"sockets": 10'), id="few sockets"),
+        pytest.param(config_text([]).replace('"sockets": 1024', '"sockets": 10'), id="too few sockets"),
     ],
 )
 def test_malformed_configuration_is_rejected(malformed: str) -> None:
@@ -82,7 +82,7 @@
         pytest.param('"known": {', '"known": [1], "other": {', "known", "list", id="cached endpoints"),
     ],
 )
-def test_error_names_key_and_value_in_one_line(valid: str, invalid: str, key: str, value: str) -> None:
+def test_errors_name_key_and_value_in_one_line(valid: str, invalid: str, key: str, value: str) -> None:
     config = config_text([])
     assert valid in config
     with pytest.raises(InvalidValueError) as raised:
@@ -93,13 +93,13 @@
     assert "\n" not in str(raised.value)
 
 
-def test_error_names_the_missing_key() -> None:
-    with pytest.raises(MissingKeyError, match="missing 'listen'") as raised:
+def test_errors_name_the_missing_key() -> None:
+    with pytest.raises(MissingKeyError, match="missing key 'listen'") as raised:
         parse_config(config_without("listen"), {})
     assert raised.value.key == "listen"
 
 
-def test_settings_with_a_counter_need_its_address() -> None:
+def test_settings_with_a_counter_require_its_address() -> None:
     config = config_text([], "127.0.0.1:6400").replace('"counter": "127.0.0.1:6400"', '"counter": ""')
     with pytest.raises(InvalidValueError, match="counter: "):
         parse_config(config, {})
@@ -112,9 +112,9 @@
         pytest.param("host", id="no port"),
         pytest.param(":80", id="no host"),
         pytest.param("host:", id="empty port"),
-        pytest.param("host:x", id="port that is no number"),
+        pytest.param("host:x", id="port is not a number"),
         pytest.param("host:-1", id="negative port"),
-        pytest.param("host:65536", id="large port"),
+        pytest.param("host:65536", id="port out of range"),
         pytest.param(None, id="none"),
     ],
 )
@@ -125,8 +125,11 @@
 
 
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(256, 32), (1024, 192)])
-def test_resource_limits_leave_enough_of_a_small_machine(sockets: int, memory_mb: int) -> None:
-    """Clients hold a third of the descriptors for requests, each of which may need an upstream connection."""
+def test_resource_limits_suit_small_machines(sockets: int, memory_mb: int) -> None:
+    """A third of the descriptors may be client connections with a request in progress.
+
+    Each of these requests may need an upstream connection of its own.
+    """
     limits = ResourceLimits.from_process_limits(sockets, memory_mb)
     assert min(limits.max_client_connections, limits.max_upstream_connections) > sockets / 3
     assert (
--- a/tests/process/test_settings_parser.py
+++ b/tests/process/test_settings_parser.py
@@ -1,4 +1,4 @@
-"""The settings parser: what malformed and missing settings do."""
+"""The settings parser: errors for malformed and missing settings, and unknown settings."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
     ("changes", "key", "value"),
     [
         pytest.param({"me": "x"}, "me", "x", id="number"),
-        pytest.param({"me": "1.5"}, "me", "1.5", id="whole number"),
+        pytest.param({"me": "1.5"}, "me", "1.5", id="integer"),
         pytest.param({"caps__second_copies": "perhaps"}, "caps.second_copies", "perhaps", id="boolean"),
         pytest.param({"classes__1__effect": "odd"}, "classes.1.effect", "odd", id="effect"),
-        pytest.param({"classes__1__dedup_scope": "moon"}, "classes.1.dedup_scope", "moon", id="scope"),
+        pytest.param({"classes__1__dedup_scope": "moon"}, "classes.1.dedup_scope", "moon", id="dedup scope"),
         pytest.param({"tariffs__0__quota_rate": "nan"}, "tariffs.0.quota_rate", "nan", id="finite number"),
     ],
 )
-def test_malformed_settings_name_the_key(changes: dict[str, str], key: str, value: str) -> None:
+def test_errors_for_malformed_settings_name_key_and_value(
+    changes: dict[str, str], key: str, value: str
+) -> None:
     with pytest.raises(SettingsError, match=key) as raised:
         parse_settings(settings_text(**changes))
     assert raised.value.key == key
     assert raised.value.value == value
 
 
-def test_missing_settings_name_the_key() -> None:
+def test_errors_for_missing_settings_name_the_key() -> None:
     with pytest.raises(SettingsError, match=r"rules\.fall_s") as raised:
         parse_settings(settings_text().replace("rules.fall_s", "rules.other"))
     assert raised.value.key == "rules.fall_s"
     assert raised.value.value is None
 
 
-def test_unknown_settings_are_skipped() -> None:
+def test_unknown_settings_are_ignored() -> None:
     assert parse_settings(settings_text() + "\nnew.key=7\nnonsense").plans[2].max_concurrency == 2
