--- a/gateway/__init__.py
+++ b/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""An admission gateway and load balancer for a service sold by plan."""
+"""An HTTP admission gateway and load balancer for a service whose customers have plans with quotas."""
--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -5,9 +5,9 @@
 import signal
 
 if __name__ == "__main__":
-    # The default action of SIGHUP would end the process.  Until the event loop handles the signal nothing
-    # has been read that could be out of date, so it can be ignored.  The imports below are the slow part
-    # of the start and must come after this line.
+    # The default action of SIGHUP would terminate the process.  Until the event loop handles the signal, no
+    # configuration has been read that a reload could update, so the signal is ignored.  This precedes the
+    # imports below, as they take most of the start-up time.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import os
@@ -25,7 +25,7 @@
 def main() -> int:
     """Run the gateway and return the exit status.
 
-    A configuration that cannot be served ends the process with one line on standard error.
+    An unusable configuration is reported in one line on standard error.
     """
     configure_logging(sys.stderr)
     try:
--- a/gateway/backoff.py
+++ b/gateway/backoff.py
@@ -4,7 +4,7 @@
 
 
 class Backoff:
-    """The delay before the next attempt: it doubles from a minimum up to a maximum, both in seconds."""
+    """The delay before the next attempt, in seconds, which doubles from a minimum up to a maximum."""
 
     __slots__ = ("_max_seconds", "_min_seconds", "seconds")
 
@@ -13,10 +13,10 @@
         self._max_seconds = max_seconds
         self.seconds = min_seconds  # the current delay
 
-    def lengthen(self) -> None:
+    def increase(self) -> None:
         """Double the delay, up to the maximum."""
         self.seconds = min(self._max_seconds, 2 * self.seconds)
 
     def reset(self) -> None:
-        """Return to the minimum."""
+        """Reset the delay to the minimum."""
         self.seconds = self._min_seconds
--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -177,7 +177,7 @@
                 self._set_state(ConnectionState.DISCONNECTED)
             self.pipeline.fail_queued()
             self._owner.loop.call_later(self._backoff.seconds, self.connect)
-            self._backoff.lengthen()
+            self._backoff.increase()
         finally:
             self._owner.connect_attempt_ended()
 
--- a/gateway/discovery/watch_supervisor.py
+++ b/gateway/discovery/watch_supervisor.py
@@ -60,7 +60,7 @@
     def _attempt_connection(self) -> None:
         is_last_attempt_old = time.monotonic() - self._attempted_at > BACKOFF_RESET_SECONDS
         if self._is_responding() and not is_last_attempt_old:
-            self._backoff.lengthen()  # attempt less often while the agent responds
+            self._backoff.increase()  # attempt less often while the agent responds
         else:
             self._backoff.reset()
         self._last_attempt = self._connections.open(keep=self._watch.active_connection)
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -1,4 +1,4 @@
-"""One gateway process: the wiring of its parts, its start and the reload of its configuration."""
+"""One gateway process: creates its components, starts them, and reloads the configuration."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Both waits are short: a counter or an agent that is down must not keep the process from serving.
-COUNTER_START_TIMEOUT_SECONDS = 0.3  # wait for a first connection to the counter
-ENDPOINT_LIST_TIMEOUT_SECONDS = 1.0  # wait for a first endpoint list; the cached one may be out of date
+# Both timeouts are short, as an unavailable counter or discovery agent must not keep the process from
+# serving.
+COUNTER_START_TIMEOUT_SECONDS = 0.3  # for the first connection to the counter
+ENDPOINT_LIST_TIMEOUT_SECONDS = 1.0  # for the first endpoint list, as the cached one may be outdated
 
 log = logging.getLogger(__name__)
 
 
 class GatewayProcess:
-    """The parts of one gateway, wired together.
+    """The components of one gateway.
 
-    It owns the configuration in force and the life cycle of its parts; each part owns its own state.
+    It owns the configuration and the life cycle of the components; each component owns its own state.
 
     Attributes:
-        config: The configuration at the start.
-        driver: Connects the policy to the other parts.
+        config: The configuration read at the start.
+        driver: Connects the policy to the other components.
         discovery: Watches the endpoint list.
-        listener: Accepts clients.
-        endpoint_list_timeout: Seconds that the start waits for a first endpoint list.
-        drain_timeout: Seconds that open requests may take from the start of a shutdown.
+        listener: Accepts client connections.
+        endpoint_list_timeout: Seconds for which `start` waits for the first endpoint list.
+        drain_timeout: Seconds after the start of a shutdown within which open requests must complete.
     """
 
     def __init__(self, config: Config) -> None:
@@ -52,10 +53,10 @@
         self.drain_timeout = drain_timeout(config.settings)
 
     async def start(self) -> None:
-        """Wait shortly for the counter and the endpoint list, then listen.
+        """Wait briefly for the counter and the endpoint list, then accept client connections.
 
         Raises:
-            OSError: The address to listen on is not available.
+            OSError: The gateway cannot listen on the configured address.
         """
         if self.driver.counter is not None:
             await asyncio.wait([self.driver.counter.ready], timeout=COUNTER_START_TIMEOUT_SECONDS)
@@ -63,18 +64,18 @@
         await self.listener.start()
 
     def reload(self, env: Mapping[str, str]) -> None:
-        """Read the configuration again and move discovery and the counter to its addresses.
+        """Reload the configuration, and apply the addresses of the discovery agent and the counter.
 
-        A configuration that cannot be served is logged and changes nothing.  Other settings take effect
-        only with a restart.
+        An invalid configuration is logged and changes nothing.  Changes to anything else take effect only
+        after a restart.
         """
         try:
-            config = self._load_again(env)
+            config = self._load_changed_config(env)
         except ConfigError as error:
-            _log_unchanged(error)
+            _log_reload_error(error)
             return
         if (config.settings, config.listen) != (self.config.settings, self.config.listen):
-            log.warning("changed settings and a changed address to listen on need a restart")
+            log.warning("changes to the settings and the listen address take effect only after a restart")
         self.discovery.change_address(config.discovery)
         if self.driver.counter is not None and config.counter is not None:
             self.driver.counter.change_address(config.counter)
@@ -85,9 +86,9 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close all connections at once."""
+        """Stop listening and close all connections immediately."""
         self.listener.close()
-        await asyncio.sleep(0)  # the loop's next turn closes the client connections
+        await asyncio.sleep(0)  # client connections are closed in the next iteration of the event loop
         self.discovery.close()
         if self.driver.counter is not None:
             self.driver.counter.close()
@@ -97,13 +98,15 @@
         try:
             update, addresses = decoder.decode_update(cached, cached=True)
         except (KeyError, TypeError, ValueError) as error:
-            raise ConfigError(f"known: {type(error).__name__}: {error}") from None
+            raise ConfigError(
+                f"known: invalid cached endpoint list: {type(error).__name__}: {error}"
+            ) from None
         self.driver.apply_endpoint_update(update, addresses)
 
-    def _load_again(self, env: Mapping[str, str]) -> Config:
+    def _load_changed_config(self, env: Mapping[str, str]) -> Config:
         config = load_config(env, is_reload=True)
         if config.settings.has_counter != self.config.settings.has_counter:
-            raise ConfigError("extra.has_counter: can be changed only by a restart")
+            raise ConfigError("extra.has_counter: a change requires a restart")
         return config
 
 
@@ -125,6 +128,6 @@
     return driver
 
 
-def _log_unchanged(error: ConfigError) -> None:
-    """Log in one line why the configuration stays as it is."""
+def _log_reload_error(error: ConfigError) -> None:
+    """Log in one line why the new configuration was rejected."""
     log.error("configuration unchanged: %s", " ".join(str(error).split()))
--- a/gateway/serve.py
+++ b/gateway/serve.py
@@ -1,4 +1,4 @@
-"""The life of a gateway process, from its start to its shutdown, as signals direct it."""
+"""Runs a gateway process and handles its signals: SIGHUP reloads, SIGTERM and SIGINT shut down."""
 
 from __future__ import annotations
 
@@ -15,10 +15,13 @@
 
 
 async def serve(env: Mapping[str, str]) -> None:
-    """Run one gateway with the configuration that ``env`` names, until SIGTERM or SIGINT.
+    """Run one gateway until SIGTERM or SIGINT, then shut it down gracefully.
+
+    Args:
+        env: The environment variables, which name the configuration file.
 
     Raises:
-        ConfigError: The configuration cannot be served.
+        ConfigError: The configuration is invalid, or the gateway cannot listen on its address.
     """
     loop = asyncio.get_running_loop()
     terminated = asyncio.Event()
@@ -30,7 +33,7 @@
         if process is not None:
             process.reload(env)
 
-    # Before the configuration is read: a SIGHUP that comes while it is read is handled once the loop turns.
+    # Added before the configuration is read, so that a SIGHUP received meanwhile is handled afterwards.
     loop.add_signal_handler(signal.SIGHUP, reload)
     config = load_config(env)
     process = GatewayProcess(config)
@@ -39,6 +42,6 @@
     except OSError as error:
         raise ConfigError(f"listen: cannot listen on {config.listen}: {error}") from None
     gc.collect()
-    gc.freeze()  # objects that live as long as the process need no further collection
+    gc.freeze()  # exempts the objects created so far, which live as long as the process, from collections
     await terminated.wait()
     await process.drain()
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -1,4 +1,4 @@
-"""Leases over the shared counter: one quota for several gateways, and the rate of counter calls."""
+"""Leases from the counter: one quota at several gateways, and the rate of counter calls."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def customer_in_mid_window() -> int:
-    """A customer whose lease window began 8 to 10 s ago."""
+    """Return a customer whose lease window began 8 to 10 s ago."""
     window_ages = (
         (customer, (time.time() + stable_hash(customer) / 2**64 * WINDOW_SECONDS) % WINDOW_SECONDS)
         for customer in range(1, 1000)
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class TwoGateways:
-    """Two gateways with one counter and one endpoint, and a client of each for the same customer."""
+    """Two gateways that share a counter and an endpoint, and a client of each for the same customer."""
 
     first_process: GatewayProcess
     first_client: HttpClient
@@ -59,21 +59,21 @@
 
 
 @async_test
-async def test_quota_holds_over_two_gateways_that_meet_a_customer_in_mid_window() -> None:
-    """Neither gateway may take the customer's credit for full, nor for emptier than it is."""
+async def test_quota_is_enforced_at_two_gateways_that_first_see_a_customer_in_mid_window() -> None:
+    """Neither gateway may assume that the whole burst is available, nor less than the counter has left."""
     async with two_gateways(FakeCounter(), customer_in_mid_window()) as gateways:
         started_at = time.monotonic()
         statuses = []
         for client in (gateways.first_client, gateways.second_client):
             statuses += [(await client.ask()).status for _ in range(16)]
-        # One unit more than the quota may be leased for what comes next.
+        # One unit beyond the quota may be leased in advance.
         accrued_units = QUOTA_UNITS_PER_SECOND * (time.monotonic() - started_at)
         assert QUOTA_BURST_UNITS <= statuses.count(200) <= QUOTA_BURST_UNITS + 1 + accrued_units
 
 
 @async_test
-async def test_counter_calls_keep_their_rate_while_connections_break() -> None:
-    """A call that fails at once says nothing about the counter's load, so the rate limit must not fall."""
+async def test_lost_connections_do_not_lower_the_rate_of_counter_calls() -> None:
+    """A call that fails immediately does not indicate that the counter is overloaded."""
     counter = FakeCounter(lambda number, _call: b"?\r\n" if number % 4 == 3 else None)
     async with running_gateway(FakeEndpoint(), counter=counter) as (process, _):
         rate_limiter = process.driver.policy.counter_rate_limiter
@@ -87,13 +87,13 @@
 
 
 @async_test
-async def test_gateways_name_a_lease_alike() -> None:
-    """Lease windows follow from Unix time: a gateway with a clock of its own would use other names."""
+async def test_gateways_use_the_same_name_for_a_lease() -> None:
+    """Names derive from lease windows in Unix time, so a gateway with another clock would use other names."""
     counter = FakeCounter()
     async with two_gateways(counter, customer_in_mid_window()) as gateways:
         assert (await gateways.first_client.ask()).status == 200
         assert (await gateways.second_client.ask()).status == 200
         assert abs(gateways.first_process.driver.now - time.time()) < MAX_CLOCK_ERROR_SECONDS
         names = [name for _, name, *_ in counter.calls]
-        assert len(names) >= 3  # a lease each, and the first gateway adds to its own
+        assert len(names) >= 3  # one lease for each gateway, and a further call of the first gateway
         assert len(set(names)) == 1
--- a/tests/process/test_log_setup.py
+++ b/tests/process/test_log_setup.py
@@ -1,4 +1,4 @@
-"""The limit on the rate of log records."""
+"""The rate limit for log records."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 RECORD = logging.LogRecord("gateway", logging.ERROR, __file__, 1, "an error", None, None)
 
 
-def test_records_of_a_second_are_limited_and_the_next_second_starts_anew(
+def test_rate_limit_drops_excess_records_until_the_next_second(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = 7.0
     monkeypatch.setattr("gateway.log_setup.time.monotonic", lambda: now)
     limit = LogRateLimit()
-    passed = []
+    results = []
     for number in range(100):
         now = 7.0 + number / 100
-        passed.append(limit.filter(RECORD))
-    assert passed == [True] * MAX_RECORDS_PER_SECOND + [False] * (100 - MAX_RECORDS_PER_SECOND)
+        results.append(limit.filter(RECORD))
+    assert results == [True] * MAX_RECORDS_PER_SECOND + [False] * (100 - MAX_RECORDS_PER_SECOND)
     now = 8.0
     assert limit.filter(RECORD)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the program reads its configuration again and moves discovery and the counter."""
+"""SIGHUP: the program reloads its configuration, and connects to changed discovery and counter addresses."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @dataclass
-class Site:
-    """A program, its configuration, and its services before and after a change of addresses."""
+class ReloadSetUp:
+    """The configuration of a program, and its services before and after a change of addresses."""
 
     config_path: Path
     agents: list[FakeDiscoveryAgent] = field(default_factory=lambda: [FakeDiscoveryAgent() for _ in range(2)])
@@ -30,7 +30,7 @@
     counter_addresses: list[str] = field(default_factory=list)
 
     async def start(self, services: Services) -> RunningProgram:
-        """Start the services, and the program with the first agent and the first counter."""
+        """Start the services, then the program with the first agent and the first counter."""
         self.hosts = await services.hosts([FakeEndpoint()])
         self.agent_addresses = await services.addresses(self.agents)
         self.counter_addresses = await services.addresses(self.counters)
@@ -42,20 +42,20 @@
         return program
 
     def configure(self, index: int) -> None:
-        """Write the configuration that names the agent and the counter with an index."""
+        """Write a configuration with the addresses of the agent and the counter at an index."""
         write_config(self.config_path, self.hosts, self.counter_addresses[index], self.agent_addresses[index])
 
 
 @async_test
-async def test_sighup_moves_discovery_and_counter_and_a_malformed_file_changes_nothing(
+async def test_sighup_applies_changed_addresses_and_ignores_a_malformed_file(
     config_path: Path,
 ) -> None:
-    """Neither SIGHUP nor a malformed file may end the process or leave it without addresses."""
-    site = Site(config_path)
-    agents = site.agents
-    counters = site.counters
+    """Neither SIGHUP nor a malformed file may terminate the process or disconnect its services."""
+    setup = ReloadSetUp(config_path)
+    agents = setup.agents
+    counters = setup.counters
     async with Services() as services:
-        process, port = await site.start(services)
+        process, port = await setup.start(services)
         write_malformed_config(config_path)
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
@@ -63,7 +63,7 @@
         assert agents[0].open
         assert await readiness_status(port) == 200
 
-        site.configure(1)
+        setup.configure(1)
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
         await until(lambda: counters[1].opened == CONNECTION_COUNT and not counters[0].open)
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what is served after SIGTERM, and what a request that cannot be completed gets."""
+"""Graceful shutdown: requests served after it starts, and requests that do not complete in time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SlowEndpoint:
-    """Connections of an endpoint that responds once it is released, and stays connected."""
+    """An endpoint that responds once `release` is set, and then keeps the connection open."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -41,7 +41,7 @@
 
 
 @async_test
-async def test_shutdown_accepts_for_a_while_and_completes_open_requests() -> None:
+async def test_shutdown_briefly_accepts_connections_and_completes_open_requests() -> None:
     slow = SlowEndpoint()
     async with (
         gateway_with_client(FakeEndpoint(), slow.handle, react=forward_by_class) as gateway,
@@ -49,7 +49,7 @@
     ):
         open_request = asyncio.create_task(gateway.client.ask(NON_IDEMPOTENT_CLASS))
         await until(lambda: gateway.policy.of(Request))
-        drained = asyncio.create_task(gateway.process.drain())
+        drain = asyncio.create_task(gateway.process.drain())
         await asyncio.sleep(0)
         async with HttpClient(gateway.process.listener) as late_client:
             assert (await late_client.ask()).status == 200
@@ -59,11 +59,11 @@
         response = await open_request
         assert response.status == 200
         assert response.headers["connection"] == "close"
-        await drained
+        await drain
 
 
 @async_test
-async def test_request_that_cannot_be_completed_before_sigkill_fails_as_timed_out() -> None:
+async def test_request_that_exceeds_the_drain_timeout_gets_status_504() -> None:
     def react(event: Any) -> list[Action]:
         return forward_to_first(event) if isinstance(event, Request) else []
 
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -1,4 +1,4 @@
-"""The start of the program: readiness, its time, SIGTERM, and configurations that cannot be served."""
+"""The start of the program: readiness, start time, SIGTERM, and unusable configurations."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     from pathlib import Path
 
 START_COUNT = 20
-MAX_START_SECONDS = 10.0  # in which nine in ten starts have to be ready
+MAX_START_SECONDS = 10.0  # within which nine in ten starts must be ready
 READINESS_POLL_SECONDS = 0.05
-MAX_PROGRAM_SECONDS = 20  # in which a program that cannot start has to end
+MAX_PROGRAM_SECONDS = 20  # within which a program that cannot start must exit
 EXIT_UNUSABLE_CONFIGURATION = 2
 
 
 async def silent_service(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
-    """Accepts connections and says nothing, as an agent or a counter that is cut off."""
+    """Accept connections without sending anything, like a partitioned agent or counter."""
     await reader.read()
 
 
 @async_test
-async def test_program_becomes_ready_and_ends_on_sigterm(config_path: Path) -> None:
+async def test_program_becomes_ready_and_exits_on_sigterm(config_path: Path) -> None:
     agent = FakeDiscoveryAgent()
     async with Services() as services:
         hosts = await services.hosts([FakeEndpoint()])
@@ -53,7 +53,7 @@
 
 
 async def measure_start(config_path: Path) -> float:
-    """Seconds from the start of the program until it is ready."""
+    """Return the seconds from the start of the program until it is ready."""
     started_at = time.monotonic()
     async with running_program(config_path) as (_, port):
         while True:
@@ -72,7 +72,7 @@
 )
 @async_test
 async def test_nine_in_ten_starts_are_ready_in_time(state: str, config_path: Path) -> None:
-    """Without discovery and the counter a gateway starts with the endpoint list that it had."""
+    """Without discovery and the counter, a gateway starts with its cached endpoint list."""
     agent = FakeDiscoveryAgent()
     hosts = [unreachable_host()]
     publish(agent, 1, hosts)
@@ -95,11 +95,11 @@
     [
         pytest.param(None, id="no file"),
         pytest.param("{", id="malformed"),
-        pytest.param(config_without("listen"), id="without an address"),
+        pytest.param(config_without("listen"), id="without listen address"),
         pytest.param('{"settings": {}}', id="without settings"),
     ],
 )
-def test_unusable_configuration_ends_the_start_with_one_line(content: str | None, config_path: Path) -> None:
+def test_unusable_configuration_is_reported_in_one_line(content: str | None, config_path: Path) -> None:
     if content is not None:
         config_path.write_text(content)
     env = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,21 +1,21 @@
-"""The backoff between attempts to connect."""
+"""Exponential backoff between attempts to connect."""
 
 from __future__ import annotations
 
 from gateway.backoff import Backoff
 
 
-def test_the_delay_doubles_up_to_its_maximum() -> None:
+def test_delay_doubles_up_to_its_maximum() -> None:
     backoff = Backoff(0.25, 0.8)
     delays = []
     for _ in range(4):
         delays.append(backoff.seconds)
-        backoff.lengthen()
+        backoff.increase()
     assert delays == [0.25, 0.5, 0.8, 0.8]
 
 
-def test_a_reset_returns_to_the_minimum() -> None:
+def test_reset_restores_the_minimum_delay() -> None:
     backoff = Backoff(0.25, 0.8)
-    backoff.lengthen()
+    backoff.increase()
     backoff.reset()
     assert backoff.seconds == 0.25
