--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -26,7 +26,7 @@
         return len(self._requests)
 
     @property
-    def unanswered(self) -> int:
+    def unanswered_count(self) -> int:
         """The number of requests that are not closed yet."""
         return sum(not request.is_closed for request in self._requests.values())
 
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -49,7 +49,7 @@
 
     async def _complete_requests(self, deadline: float) -> None:
         """Wait until no request is open or received in part, or for a monotonic deadline in seconds."""
-        while self._open_requests.unanswered or self._connections.has_incoming_requests():
+        while self._open_requests.unanswered_count or self._connections.has_incoming_requests():
             if time.monotonic() >= deadline:
                 return
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
--- a/tests/driver/test_policy_driver.py
+++ b/tests/driver/test_policy_driver.py
@@ -30,9 +30,9 @@
 
         endpoint = FakeEndpoint(lambda _: http_response(500 if len(endpoint.seen) == 1 else 200))
         async with gateway_with_client(endpoint, react=react) as gateway:
-            assert (await gateway.client.ask(0)).status == 503  # it never ran
-            assert (await gateway.client.ask(2)).status == 502  # it may have run
-            assert (await gateway.client.ask(2)).status == 200
+            assert (await gateway.client.send_request(0)).status == 503  # it never ran
+            assert (await gateway.client.send_request(2)).status == 502  # it may have run
+            assert (await gateway.client.send_request(2)).status == 200
             assert not gateway.process.driver.open_requests
 
     run(send_requests())
@@ -56,7 +56,7 @@
         return []
 
     async with gateway_with_client(UNREACHABLE, react=react) as gateway:
-        gateway.client.writer.write(gateway.client.request())
+        gateway.client.writer.write(gateway.client.encode_request())
         await until(lambda: len(fired_at) == TIMER_COUNT)
         assert all(at >= due[token] for token, at in fired_at.items())
 
@@ -77,7 +77,7 @@
 
         async with gateway_with_client(UNREACHABLE, react=react) as gateway:
             for _ in range(2):
-                assert (await gateway.client.ask()).status == 503
+                assert (await gateway.client.send_request()).status == 503
 
     run(send_request())
     assert caplog.text.count("unsupported action: WatchEndpoints") == 1
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -28,10 +28,12 @@
 @async_test
 async def test_a_length_beside_a_transfer_coding_is_rejected(*, length_first: bool, coding: bytes) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
-        head = gateway.client.request(2, Content_Length="").removesuffix(b"\r\n")
+        head = gateway.client.encode_request(2, Content_Length="").removesuffix(b"\r\n")
         pair = [b"Content-Length: 5\r\n", b"Transfer-Encoding: " + coding + b"\r\n"]
         lines = b"".join(pair if length_first else reversed(pair))
-        response = await gateway.client.send(head + lines + b"\r\n0\r\n\r\n" + gateway.client.request())
+        response = await gateway.client.send(
+            head + lines + b"\r\n0\r\n\r\n" + gateway.client.encode_request()
+        )
         assert response.status == 400
         assert await gateway.client.reader.read() == b""
         assert not gateway.policy.events
@@ -43,7 +45,7 @@
 async def test_bytes_behind_an_error_do_not_reset_its_response() -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         gateway.client.writer.write(
-            gateway.client.request(2, Content_Length=str(DISCARD_COUNT * MAX_DISCARDED_BYTES))
+            gateway.client.encode_request(2, Content_Length=str(DISCARD_COUNT * MAX_DISCARDED_BYTES))
         )
         for _ in range(DISCARD_COUNT):
             gateway.client.writer.write(b"x" * MAX_DISCARDED_BYTES)
@@ -59,7 +61,7 @@
 async def test_no_request_is_taken_behind_the_last_response(caplog: pytest.LogCaptureFixture) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         gateway.process.listener.connection_table.max_connections = 0
-        gateway.client.writer.write(gateway.client.request() + gateway.client.request())
+        gateway.client.writer.write(gateway.client.encode_request() + gateway.client.encode_request())
         assert (await read_message(gateway.client.reader)).status == 503
         assert await gateway.client.reader.read() == b""
         assert not gateway.policy.events
--- a/tests/frontend/test_listener.py
+++ b/tests/frontend/test_listener.py
@@ -49,11 +49,11 @@
         HttpClient(gateway.listener) as second,
         HttpClient(gateway.listener) as third,
     ):
-        first.writer.write(first.request(Request_Id="taken"))
+        first.writer.write(first.encode_request(Request_Id="taken"))
         await until(lambda: received)
-        assert (await second.ask(Request_Id="taken")).status == 409
+        assert (await second.send_request(Request_Id="taken")).status == 409
         assert len(received) == 1
-        third.writer.write(third.request(Request_Id="other"))
+        third.writer.write(third.encode_request(Request_Id="other"))
         assert (await read_message(first.reader)).status == 503
         assert gateway.listener.budget.open_request_ids == {b"other"}
 
@@ -104,12 +104,12 @@
         table = gateway.process.listener.connection_table
         table.max_connections = MAX_CONNECTIONS
         usual = gateway.client
-        assert (await usual.ask()).status == 200
+        assert (await usual.send_request()).status == 200
         silent = [await asyncio.open_connection(LOOPBACK, usual.port) for _ in range(SILENT_COUNT)]
         await until(lambda: len(table.connections) == MAX_CONNECTIONS)
         async with HttpClient(gateway.process.listener) as new:
-            assert (await new.ask()).status == 200
-        assert (await usual.ask()).status == 200  # it sent a request a moment ago: others were closed
+            assert (await new.send_request()).status == 200
+        assert (await usual.send_request()).status == 200  # recently used, so others were evicted
         for _, writer in silent:
             writer.close()
 
@@ -127,7 +127,7 @@
         HttpClient(gateway.listener) as second,
     ):
         for client in (first, second):
-            assert (await client.ask()).status == 200
+            assert (await client.send_request()).status == 200
         gateway.listener.connection_table.max_connections = 4
         await until(lambda: not gateway.listener.connection_table.connections)
 
@@ -139,7 +139,7 @@
         budget = gateway.listener.budget
         budget.max_buffered_bytes = MAX_BUFFERED_BYTES
         async with HttpClient(gateway.listener) as first, HttpClient(gateway.listener) as second:
-            half = first.request(NON_IDEMPOTENT_CLASS, Content_Length="2000") + PART_OF_A_BODY
+            half = first.encode_request(NON_IDEMPOTENT_CLASS, Content_Length="2000") + PART_OF_A_BODY
             first.writer.write(half)
             await until(lambda: budget.buffered_bytes == len(PART_OF_A_BODY))
             response = await second.send(half)
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -161,7 +161,7 @@
 @async_test
 async def test_call_terms_out_of_range_are_rejected(terms: str) -> None:
     async with gateway_with_client(UNREACHABLE, extra__most_units="2") as gateway:
-        assert (await gateway.client.ask(X_Call_Terms=terms)).status == 400
+        assert (await gateway.client.send_request(X_Call_Terms=terms)).status == 400
         assert await gateway.client.reader.read() == b""
         assert not gateway.policy.events
         assert not gateway.process.listener.budget.open_request_ids
@@ -187,7 +187,7 @@
 @async_test
 async def test_targets_that_could_be_read_in_two_ways_are_rejected(target: bytes) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
-        good = gateway.client.request()
+        good = gateway.client.encode_request()
         bad = good.replace(b"/class-0?customer=0000000000000005", target)
         assert bad != good
         assert (await gateway.client.send(bad)).status in (400, 404)
--- a/tests/process/services.py
+++ b/tests/process/services.py
@@ -18,13 +18,13 @@
 class Services(contextlib.AsyncExitStack):
     """Servers that run until the stack is closed."""
 
-    async def addresses(self, servers: Sequence[FakeServer | Handler]) -> list[str]:
+    async def start_servers(self, servers: Sequence[FakeServer | Handler]) -> list[str]:
         """Start servers and return their addresses."""
         return [await server_address(self, server) for server in servers]
 
-    async def hosts(self, endpoints: Sequence[FakeServer | Handler]) -> list[dict[str, Any]]:
+    async def start_endpoints(self, endpoints: Sequence[FakeServer | Handler]) -> list[dict[str, Any]]:
         """Start endpoints and return them as an agent lists them."""
-        addresses = await self.addresses(endpoints)
+        addresses = await self.start_servers(endpoints)
         return [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
 
 
@@ -33,7 +33,7 @@
     return host_line("s-00000001", UNREACHABLE)
 
 
-def publish(agent: FakeDiscoveryAgent, version: int, hosts: list[dict[str, Any]]) -> None:
+def publish_snapshot(agent: FakeDiscoveryAgent, version: int, hosts: list[dict[str, Any]]) -> None:
     """Let an agent answer with a snapshot from now on."""
     agent.whole = json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
 
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -18,7 +18,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
 from tests.support.http_messages import Message, http_response
-from tests.support.scripted_policy import FIRST, SECOND
+from tests.support.scripted_policy import FIRST_ENDPOINT, SECOND_ENDPOINT
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -58,7 +58,7 @@
 async def test_outcome_says_whether_an_attempt_may_have_run(response: bytes, outcome: Outcome) -> None:
     endpoint = FakeEndpoint(lambda _: response)
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 502
+        assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [outcome]
         assert len(endpoint.seen) == 1  # nothing is retried unless the policy says so
 
@@ -80,9 +80,9 @@
     """
     endpoint = FakeEndpoint(keep_silent)
     async with gateway_with_client(endpoint) as gateway:
-        response = asyncio.create_task(gateway.client.ask(NON_IDEMPOTENT_CLASS))
+        response = asyncio.create_task(gateway.client.send_request(NON_IDEMPOTENT_CLASS))
         await until(lambda: endpoint.seen)
-        (connection,) = gateway.process.driver.upstream.pools[FIRST].connections
+        (connection,) = gateway.process.driver.upstream.pools[FIRST_ENDPOINT].connections
         if has_unsent_bytes:
             connection.pause_writing()
         connection.abort()
@@ -95,7 +95,7 @@
     async with listening(FakeEndpoint().handle) as address:
         pass
     async with gateway_with_client(address) as gateway:
-        assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 502
+        assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [Outcome.CONNECT_FAILED]
 
 
@@ -104,7 +104,7 @@
     with listener_with_full_backlog() as address:
         async with gateway_with_client(address) as gateway:
             started_at = time.monotonic()
-            assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 502
+            assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
             assert gateway.policy.outcomes() == [Outcome.CONNECT_FAILED]
             assert 0.2 < time.monotonic() - started_at < 2.0  # caps.connect_timeout_s is 0.25
 
@@ -116,8 +116,8 @@
 
     endpoint = FakeEndpoint(respond_once)
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 200
-        assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 502
+        assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 200
+        assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.RESET]
         assert endpoint.opened == 1
         assert len(endpoint.seen) == 2
@@ -132,12 +132,15 @@
 
     def react(self, event: Any) -> list[Action]:
         if isinstance(event, Request):
-            return [StartAttempt(event.request_id, FIRST, self.attempt_timeout), SetTimer(0.0, POLL_TIMER)]
+            return [
+                StartAttempt(event.request_id, FIRST_ENDPOINT, self.attempt_timeout),
+                SetTimer(0.0, POLL_TIMER),
+            ]
         if isinstance(event, TimerFired) and not self.attempt_timeout:
             # Not before the endpoint has the complete request: until then it is not in flight.
             return [Cancel(1, 0)] if self.first.seen else [SetTimer(0.0, POLL_TIMER)]
         if isinstance(event, AttemptFinished) and event.attempt == 0:
-            return [StartAttempt(event.request_id, SECOND, 0.0)]
+            return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
         return []
 
 
@@ -162,7 +165,7 @@
     async with gateway_with_client(
         silent, FakeEndpoint(respond), react=script.react, caps__second_copies="false"
     ) as gateway:
-        response = await gateway.client.ask()
+        response = await gateway.client.send_request()
         assert response.status == 200
         assert response.body == b"second"
         assert open_at_retry == [0]
@@ -173,11 +176,14 @@
 async def test_hedged_request_is_not_sent_where_the_settings_forbid_it() -> None:
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
-            return [StartAttempt(event.request_id, FIRST, 0.0), StartAttempt(event.request_id, FIRST, 0.0)]
+            return [
+                StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
+                StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
+            ]
         return []
 
     endpoint = FakeEndpoint()
     async with gateway_with_client(endpoint, react=react, caps__second_copies="false") as gateway:
-        assert (await gateway.client.ask()).status == 200
+        assert (await gateway.client.send_request()).status == 200
         assert gateway.policy.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
         assert len(endpoint.seen) == 1
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -40,7 +40,7 @@
     while transport.is_reading():
         request_count += 1
         seen_before = len(endpoint.seen)
-        gateway.client.writer.write(gateway.client.request())
+        gateway.client.writer.write(gateway.client.encode_request())
 
         def was_served(seen_before: int = seen_before) -> bool:
             return len(endpoint.seen) > seen_before and not connection.pending
@@ -54,12 +54,12 @@
     async with gateway_with_client(endpoint_with_largest_body()) as gateway:
         reader = gateway.client.reader
         writer = gateway.client.writer
-        writer.write(b"".join(gateway.client.request() for _ in range(SURPLUS_REQUEST_COUNT)))
+        writer.write(b"".join(gateway.client.encode_request() for _ in range(SURPLUS_REQUEST_COUNT)))
         responses = [await read_message(reader) for _ in range(MAX_PIPELINED_REQUESTS + 1)]
         assert [response.status for response in responses] == [200] * MAX_PIPELINED_REQUESTS + [503]
         assert "retry-after" in responses[-1].headers
         assert await reader.read() == b""  # the remaining bytes are not read as requests
-        assert len(gateway.policy.of(Request)) == MAX_PIPELINED_REQUESTS
+        assert len(gateway.policy.events_of_type(Request)) == MAX_PIPELINED_REQUESTS
 
 
 @async_test
@@ -75,7 +75,7 @@
 
     async with gateway_with_client(UNREACHABLE, react=react) as gateway:
         client = gateway.client
-        first = await client.send(client.request() + client.request())
+        first = await client.send(client.encode_request() + client.encode_request())
         second = await read_message(client.reader)
         assert MAX_PIPELINED_REQUESTS >= 2
         assert first.status == 502
@@ -87,7 +87,7 @@
     endpoint = endpoint_with_largest_body()
     async with gateway_with_client(endpoint) as gateway:
         _, request_count = await request_until_not_read(gateway, endpoint)
-        gateway.client.writer.write(gateway.client.request())
+        gateway.client.writer.write(gateway.client.encode_request())
         for _ in range(request_count + 1):  # once it reads, all responses come
             response = await read_message(gateway.client.reader)
             assert response.status == 200
@@ -109,9 +109,9 @@
     endpoint = FakeEndpoint(keep_silent)
     async with running_gateway(endpoint, react=forward_to_first) as (process, policy):
         async with HttpClient(process.listener) as client:
-            client.writer.write(client.request())
+            client.writer.write(client.encode_request())
             await until(lambda: endpoint.seen)
-        await until(lambda: policy.of(ClientDisconnected))
+        await until(lambda: policy.events_of_type(ClientDisconnected))
         assert endpoint.open == 1
         assert not policy.outcomes()
         assert process.driver.open_requests
@@ -123,10 +123,10 @@
         process.listener.connection_table.max_connections = 2
         async with HttpClient(process.listener) as first, HttpClient(process.listener) as second:
             for client in (first, second):
-                client.writer.write(client.request())
-            await until(lambda: len(policy.of(Request)) == 2)
+                client.writer.write(client.encode_request())
+            await until(lambda: len(policy.events_of_type(Request)) == 2)
             async with HttpClient(process.listener) as surplus:
-                response = await surplus.ask()
+                response = await surplus.send_request()
             assert response.status == 503
             assert "retry-after" in response.headers
-            assert len(policy.of(Request)) == 2
+            assert len(policy.events_of_type(Request)) == 2
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -32,7 +32,7 @@
 def owes_the_last_response(gateway: GatewayProcess) -> bool:
     """Whether responses are unsent, and one request has none."""
     has_unsent_responses = gateway.listener.connection_table.has_unsent_responses()
-    return has_unsent_responses and gateway.driver.open_requests.unanswered == 1
+    return has_unsent_responses and gateway.driver.open_requests.unanswered_count == 1
 
 
 # Guards against a disconnect that is not noticed while the client is not read, as it does not read its
@@ -44,7 +44,7 @@
         with connected(gateway) as client:
             await send_four_requests(gateway, client)
             await until(lambda: owes_the_last_response(gateway))
-        await until(lambda: policy.of(ClientDisconnected))
+        await until(lambda: policy.events_of_type(ClientDisconnected))
         assert not gateway.driver.open_requests
 
 
@@ -63,7 +63,7 @@
             await until(lambda: owes_the_last_response(gateway))
             client.shutdown(socket.SHUT_WR)
             closed_at = time.monotonic()
-            await until(lambda: policy.of(ClientDisconnected))
+            await until(lambda: policy.events_of_type(ClientDisconnected))
             assert time.monotonic() - closed_at < MAX_DETECTION_SECONDS
         connections = gateway.listener.connection_table.connections
         await until(lambda: not connections and not gateway.driver.open_requests)
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -65,7 +65,7 @@
         started_at = time.monotonic()
         statuses = []
         for client in (gateways.first_client, gateways.second_client):
-            statuses += [(await client.ask()).status for _ in range(16)]
+            statuses += [(await client.send_request()).status for _ in range(16)]
         # One unit more than the quota may be leased for what comes next.
         accrued_units = QUOTA_UNITS_PER_SECOND * (time.monotonic() - started_at)
         assert QUOTA_BURST_UNITS <= statuses.count(200) <= QUOTA_BURST_UNITS + 1 + accrued_units
@@ -80,7 +80,7 @@
         rate_before = rate_limiter.rate
         for customer in range(1, 80):
             async with HttpClient(process.listener, customer) as client:
-                assert (await client.ask()).status == 200
+                assert (await client.send_request()).status == 200
         assert counter.opened > 6
         assert rate_limiter.failure_ratio.value > 0
         assert rate_limiter.rate >= rate_before
@@ -91,8 +91,8 @@
     """Lease windows follow from Unix time: a gateway with a clock of its own would use other names."""
     counter = FakeCounter()
     async with two_gateways(counter, customer_in_mid_window()) as gateways:
-        assert (await gateways.first_client.ask()).status == 200
-        assert (await gateways.second_client.ask()).status == 200
+        assert (await gateways.first_client.send_request()).status == 200
+        assert (await gateways.second_client.send_request()).status == 200
         assert abs(gateways.first_process.driver.now - time.time()) < MAX_CLOCK_ERROR_SECONDS
         names = [name for _, name, *_ in counter.calls]
         assert len(names) >= 3  # a lease each, and the first gateway adds to its own
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -13,7 +13,7 @@
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import KEYED_CLASS, NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import Message, http_response, read_message
-from tests.support.scripted_policy import FIRST
+from tests.support.scripted_policy import FIRST_ENDPOINT
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,18 +36,18 @@
 @async_test
 async def test_request_is_answered_in_time_whatever_the_policy_does() -> None:
     def react(event: Any) -> list[Action]:
-        return [StartAttempt(event.request_id, FIRST, 0.0)] if isinstance(event, Request) else []
+        return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)] if isinstance(event, Request) else []
 
     async with gateway_with_client(FakeEndpoint(keep_silent), react=react) as gateway:
         started_at = time.monotonic()
-        assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS, 300)).status == 504
+        assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS, 300)).status == 504
         assert time.monotonic() - started_at < 0.35  # its deadline, and the 50 ms allowed beyond
         # The attempt was abandoned before the deadline, and nothing is left behind.
         assert gateway.policy.outcomes() == [Outcome.TIMEOUT]
-        assert len(gateway.policy.of(ClientDisconnected)) == 1
+        assert len(gateway.policy.events_of_type(ClientDisconnected)) == 1
         open_requests = gateway.process.driver.open_requests
         assert not open_requests
-        assert open_requests.unanswered == 0
+        assert open_requests.unanswered_count == 0
 
 
 @async_test
@@ -58,7 +58,7 @@
 
         async def ask(customer: int) -> int:
             async with HttpClient(process.listener, customer) as client:
-                return (await client.ask(timeout_ms=150 + customer)).status
+                return (await client.send_request(timeout_ms=150 + customer)).status
 
         statuses = await asyncio.gather(*(ask(customer) for customer in range(8)))
         assert all(status != 200 for status in statuses)
@@ -92,12 +92,12 @@
         gateway_with_client(work.handle, work.handle, react=None, **changes) as gateway,
         HttpClient(gateway.process.listener) as other,
     ):
-        response = asyncio.ensure_future(gateway.client.ask(KEYED_CLASS, Idempotency_Key=COSTLY_KEY))
+        response = asyncio.ensure_future(gateway.client.send_request(KEYED_CLASS, Idempotency_Key=COSTLY_KEY))
         await until(lambda: work.seen)
         sent_at = time.monotonic()
         while time.monotonic() - sent_at < COSTLY_SECONDS:
             set_usual_latency(gateway.process, KEYED_CLASS, USUAL_LATENCY_SECONDS)
-            assert (await other.ask(KEYED_CLASS)).status == 200
+            assert (await other.send_request(KEYED_CLASS)).status == 200
         work.release.set()
         assert (await response).status == 200
         assert len(work.seen) == 1
@@ -117,7 +117,7 @@
     endpoints = [FakeEndpoint(respond_unless_first(index)) for index in range(2)]
     async with gateway_with_client(*endpoints, react=None, **NO_QUOTA_NO_HEDGING) as gateway:
         set_usual_latency(gateway.process, 0, 0.02)
-        response = await gateway.client.ask()
+        response = await gateway.client.send_request()
         assert response.status == 200
         assert response.body == b"done"
         assert len(seen) == 2
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -15,7 +15,7 @@
 from gateway.counter.client import CONNECTION_COUNT
 from gateway.discovery.endpoint_watch import MAX_CONNECTIONS
 from tests.process.program import RunningProgram, open_descriptors, running_program
-from tests.process.services import Services, publish, unreachable_host, write_config
+from tests.process.services import Services, publish_snapshot, unreachable_host, write_config
 from tests.support.event_loop import async_test, until
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscoveryAgent
@@ -155,9 +155,9 @@
     agent = FailingDiscoveryAgent()
     counter = FakeCounter()
     endpoints = [FakeEndpoint(respond_with(b"1")), FakeEndpoint(respond_with(b"2"))]
-    first, second = await services.hosts(endpoints)
-    agent_address, counter_address = await services.addresses([agent, counter])
-    publish(agent, 1, [first])
+    first, second = await services.start_endpoints(endpoints)
+    agent_address, counter_address = await services.start_servers([agent, counter])
+    publish_snapshot(agent, 1, [first])
     write_config(config_path, [first], counter_address, agent_address, MAX_SOCKETS)
     program = await services.enter_async_context(running_program(config_path, MAX_SOCKETS))
     await until(lambda: len(agent.targets) == 2)
@@ -182,7 +182,7 @@
         assert site.counter.open == CONNECTION_COUNT
         assert site.counter.calls
 
-        publish(site.agent, 2, [site.second_host])
+        publish_snapshot(site.agent, 2, [site.second_host])
         site.agent.is_down = False
         await wait_for_second_endpoint(site.program, customers)
         await idle_clients.disconnect()
@@ -199,8 +199,8 @@
     counters = [FakeCounter(), FakeCounter()]
     hosts = [unreachable_host()]
     async with Services() as services:
-        agent_addresses = await services.addresses(agents.handlers)
-        counter_addresses = await services.addresses(counters)
+        agent_addresses = await services.start_servers(agents.handlers)
+        counter_addresses = await services.start_servers(counters)
         write_config(config_path, hosts, counter_addresses[0], agent_addresses[0])
         program = await services.enter_async_context(running_program(config_path))
         await until(lambda: agents.connection_counts[0] > MAX_CONNECTIONS)
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -21,7 +21,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import http_response
-from tests.support.scripted_policy import FIRST, forward_to_first
+from tests.support.scripted_policy import FIRST_ENDPOINT, forward_to_first
 
 OVER_HALF_IDLE_TIMEOUT_SECONDS = 16.0  # the endpoints' idle time-out is 30 s
 
@@ -32,7 +32,7 @@
     endpoint = FakeEndpoint(lambda _: responses[len(endpoint.seen) - 1])
     async with gateway_with_client(endpoint) as gateway:
         for opened in (1, 1, 2):
-            assert (await gateway.client.ask()).status == 200
+            assert (await gateway.client.send_request()).status == 200
             assert endpoint.opened == opened
 
 
@@ -40,10 +40,10 @@
 async def test_idle_connections_are_closed_before_the_endpoint_closes_them() -> None:
     endpoint = FakeEndpoint()
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask()).status == 200
+        assert (await gateway.client.send_request()).status == 200
         assert endpoint.open == 1
         upstream = gateway.process.driver.upstream
-        pool = upstream.pools[FIRST]
+        pool = upstream.pools[FIRST_ENDPOINT]
         pool.idle[0].idle_since -= OVER_HALF_IDLE_TIMEOUT_SECONDS
         upstream.timer.cancel()
         upstream.close_expired_connections()
@@ -56,13 +56,15 @@
 async def test_restarted_endpoint_gets_new_connections() -> None:
     endpoint = FakeEndpoint()
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask()).status == 200
+        assert (await gateway.client.send_request()).status == 200
         driver = gateway.process.driver
-        address = driver.upstream.pools[FIRST].address
-        restarted = EndpointRecord(FIRST, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
-        driver.apply_endpoint_update(EndpointUpdate(UpdateKind.DELTA, 42, (restarted,)), {FIRST: address})
+        address = driver.upstream.pools[FIRST_ENDPOINT].address
+        restarted = EndpointRecord(FIRST_ENDPOINT, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
+        driver.apply_endpoint_update(
+            EndpointUpdate(UpdateKind.DELTA, 42, (restarted,)), {FIRST_ENDPOINT: address}
+        )
         await until(lambda: endpoint.open == 0)
-        assert (await gateway.client.ask()).status == 200
+        assert (await gateway.client.send_request()).status == 200
         assert endpoint.opened == 2
 
 
@@ -80,11 +82,12 @@
         HttpClient(gateway.process.listener) as other,
     ):
         gateway.process.driver.upstream.max_connections = 1
-        assert (await gateway.client.ask(0)).status == 200
-        gateway.client.writer.write(gateway.client.request(1))  # the first one's idle connection is closed
+        assert (await gateway.client.send_request(0)).status == 200
+        # The idle connection to the first endpoint is closed to open one to the second.
+        gateway.client.writer.write(gateway.client.encode_request(1))
         await until(lambda: silent.seen)
         await until(lambda: responsive.open == 0)
-        assert (await other.ask(2)).status == 502  # no connection may be opened: it never ran
+        assert (await other.send_request(2)).status == 502  # no connection may be opened: it never ran
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.OVERLOADED]
 
 
@@ -94,22 +97,22 @@
     endpoint = FakeEndpoint(lambda _: http_response(Server_Load=headers[len(endpoint.seen) - 1]))
     async with gateway_with_client(endpoint) as gateway:
         for _ in headers:
-            assert (await gateway.client.ask()).status == 200
-        reports = [event.load_report for event in gateway.policy.of(AttemptFinished)]
+            assert (await gateway.client.send_request()).status == 200
+        reports = [event.load_report for event in gateway.policy.events_of_type(AttemptFinished)]
         assert reports == [(180.5, 0.61, 2.0), (), (), ()]
 
 
 @async_test
 async def test_probe_brings_the_load_report() -> None:
     def react(event: Any) -> list[Action]:
-        return [Probe(FIRST), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
+        return [Probe(FIRST_ENDPOINT), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
 
     endpoint = FakeEndpoint(lambda _: http_response(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
     async with gateway_with_client(endpoint, react=react) as gateway:
-        assert (await gateway.client.ask()).status == 503
-        await until(lambda: gateway.policy.of(ProbeFinished))
-        (probed,) = gateway.policy.of(ProbeFinished)
-        assert probed.endpoint_id == FIRST
+        assert (await gateway.client.send_request()).status == 503
+        await until(lambda: gateway.policy.events_of_type(ProbeFinished))
+        (probed,) = gateway.policy.events_of_type(ProbeFinished)
+        assert probed.endpoint_id == FIRST_ENDPOINT
         assert probed.outcome == Outcome.OK
         assert probed.load_report == (9.0, 0.5, 1.0)
         assert endpoint.seen[0].start == "GET /-/load HTTP/1.1"
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -8,7 +8,7 @@
 
 from gateway.counter.client import CONNECTION_COUNT
 from tests.process.program import RunningProgram, readiness_status, running_program
-from tests.process.services import Services, publish, write_config, write_malformed_config
+from tests.process.services import Services, publish_snapshot, write_config, write_malformed_config
 from tests.support.event_loop import async_test, until
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscoveryAgent
@@ -31,11 +31,11 @@
 
     async def start(self, services: Services) -> RunningProgram:
         """Start the services, and the program with the first agent and the first counter."""
-        self.hosts = await services.hosts([FakeEndpoint()])
-        self.agent_addresses = await services.addresses(self.agents)
-        self.counter_addresses = await services.addresses(self.counters)
+        self.hosts = await services.start_endpoints([FakeEndpoint()])
+        self.agent_addresses = await services.start_servers(self.agents)
+        self.counter_addresses = await services.start_servers(self.counters)
         for agent in self.agents:
-            publish(agent, 1, self.hosts)
+            publish_snapshot(agent, 1, self.hosts)
         self.configure(0)
         program = await services.enter_async_context(running_program(self.config_path))
         await until(lambda: self.agents[0].open and self.counters[0].opened == CONNECTION_COUNT)
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -30,7 +30,7 @@
     async with gateway_with_client(endpoint, react=None) as gateway:
         ready = await gateway.client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert ready.status == 200
-        response = await gateway.client.ask(1, body=b"a recording", Request_Id="9b1f03aa5c7e2d41")
+        response = await gateway.client.send_request(1, body=b"a recording", Request_Id="9b1f03aa5c7e2d41")
         assert response.status == 200
         assert response.body == b"got a recording"
         (forwarded,) = endpoint.seen
@@ -48,13 +48,13 @@
         return [Reject(event.request_id, 0.25)] if isinstance(event, Request) else []
 
     async with gateway_with_client(UNREACHABLE, react=react) as gateway:
-        response = await gateway.client.ask(
+        response = await gateway.client.send_request(
             2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
         )
         # A rejection is sent at once, with the time after which to retry.
         assert response.status == 503
         assert response.headers["retry-after"] == "0.250"
-        (event,) = gateway.policy.of(Request)
+        (event,) = gateway.policy.events_of_type(Request)
         assert event.class_index == 2
         assert event.plan_index == 1
         assert event.customer == 5
@@ -87,7 +87,7 @@
 ) -> None:
     endpoint = FakeEndpoint()
     async with gateway_with_client(endpoint) as gateway:
-        malformed = gateway.client.request(class_index, 4000, b"", **{header: value})
+        malformed = gateway.client.encode_request(class_index, 4000, b"", **{header: value})
         assert (await gateway.client.send(malformed)).status == status
         assert not gateway.policy.events
         assert not endpoint.opened
@@ -123,7 +123,7 @@
 @async_test
 async def test_trailer_does_not_stand_in_for_a_header() -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
-        head = gateway.client.request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
+        head = gateway.client.encode_request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
         response = await gateway.client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
         assert response.status == 400
         assert not gateway.policy.events
@@ -150,7 +150,7 @@
 @async_test
 async def test_an_answered_request_is_freed_without_the_garbage_collector(react: Reaction) -> None:
     async with gateway_with_client(FakeEndpoint(), react=react) as gateway:
-        await gateway.client.ask()
-        await gateway.client.ask()
+        await gateway.client.send_request()
+        await gateway.client.send_request()
         kept = [kept for kept in gc.get_objects() if isinstance(kept, Exchange | OpenRequest)]
         assert kept == []
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -12,7 +12,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import http_response
-from tests.support.scripted_policy import FIRST, SECOND, forward_to_first
+from tests.support.scripted_policy import FIRST_ENDPOINT, SECOND_ENDPOINT, forward_to_first
 
 SHORT_DRAIN_SECONDS = 0.7
 KEEP_OPEN_SECONDS = 5
@@ -35,7 +35,7 @@
 def forward_by_class(event: Any) -> list[Action]:
     """Forward the requests of the non-idempotent class to the second endpoint, others to the first."""
     if isinstance(event, Request):
-        endpoint_id = SECOND if event.class_index == NON_IDEMPOTENT_CLASS else FIRST
+        endpoint_id = SECOND_ENDPOINT if event.class_index == NON_IDEMPOTENT_CLASS else FIRST_ENDPOINT
         return [StartAttempt(event.request_id, endpoint_id, 0.0)]
     return []
 
@@ -47,13 +47,13 @@
         gateway_with_client(FakeEndpoint(), slow.handle, react=forward_by_class) as gateway,
         HttpClient(gateway.process.listener) as idle_client,
     ):
-        open_request = asyncio.create_task(gateway.client.ask(NON_IDEMPOTENT_CLASS))
-        await until(lambda: gateway.policy.of(Request))
+        open_request = asyncio.create_task(gateway.client.send_request(NON_IDEMPOTENT_CLASS))
+        await until(lambda: gateway.policy.events_of_type(Request))
         drained = asyncio.create_task(gateway.process.drain())
         await asyncio.sleep(0)
         async with HttpClient(gateway.process.listener) as late_client:
-            assert (await late_client.ask()).status == 200
-        assert (await idle_client.ask()).status == 200
+            assert (await late_client.send_request()).status == 200
+        assert (await idle_client.send_request()).status == 200
         assert await idle_client.reader.read() == b""  # closed between requests
         slow.release.set()
         response = await open_request
@@ -69,7 +69,7 @@
 
     endpoint = FakeEndpoint(keep_silent)
     async with gateway_with_client(endpoint, react=react) as gateway:
-        open_request = asyncio.create_task(gateway.client.ask(NON_IDEMPOTENT_CLASS, 60_000))
+        open_request = asyncio.create_task(gateway.client.send_request(NON_IDEMPOTENT_CLASS, 60_000))
         await until(lambda: endpoint.seen)
         gateway.process.drain_timeout = SHORT_DRAIN_SECONDS
         await gateway.process.drain()
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.process.program import free_port, readiness_status, running_program
-from tests.process.services import Services, publish, unreachable_host, write_config
+from tests.process.services import Services, publish_snapshot, unreachable_host, write_config
 from tests.support.event_loop import async_test
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscoveryAgent
@@ -40,9 +40,9 @@
 async def test_program_becomes_ready_and_ends_on_sigterm(config_path: Path) -> None:
     agent = FakeDiscoveryAgent()
     async with Services() as services:
-        hosts = await services.hosts([FakeEndpoint()])
-        (discovery_address,) = await services.addresses([agent])
-        publish(agent, 1, hosts)
+        hosts = await services.start_endpoints([FakeEndpoint()])
+        (discovery_address,) = await services.start_servers([agent])
+        publish_snapshot(agent, 1, hosts)
         write_config(config_path, hosts, discovery=discovery_address)
         async with running_program(config_path) as (process, port):
             assert await readiness_status(port) == 200
@@ -75,15 +75,15 @@
     """Without discovery and the counter a gateway starts with the endpoint list that it had."""
     agent = FakeDiscoveryAgent()
     hosts = [unreachable_host()]
-    publish(agent, 1, hosts)
+    publish_snapshot(agent, 1, hosts)
     async with Services() as services:
         if state == "refusing":
             refusing_address = f"{LOOPBACK}:{free_port()}"
             addresses = [refusing_address, refusing_address]
         elif state == "silent":
-            addresses = await services.addresses([silent_service, silent_service])
+            addresses = await services.start_servers([silent_service, silent_service])
         else:
-            addresses = await services.addresses([agent, FakeCounter()])
+            addresses = await services.start_servers([agent, FakeCounter()])
         discovery_address, counter_address = addresses
         write_config(config_path, hosts, counter_address, discovery_address)
         start_times = sorted(await asyncio.gather(*(measure_start(config_path) for _ in range(START_COUNT))))
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -140,7 +140,7 @@
     """Wait until all requests are answered, and the responses are not sent completely."""
     table = gateway.listener.connection_table
     open_requests = gateway.driver.open_requests
-    await until(lambda: table.has_unsent_responses() and not open_requests.unanswered)
+    await until(lambda: table.has_unsent_responses() and not open_requests.unanswered_count)
 
 
 # Guards against a shutdown that cuts off the last responses of clients that read slowly.
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -28,7 +28,13 @@
 from tests.support.fake_server import LOOPBACK, FakeServer
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
-from tests.support.scripted_policy import FIRST, SECOND, Reaction, ScriptedPolicy, forward_to_first
+from tests.support.scripted_policy import (
+    FIRST_ENDPOINT,
+    SECOND_ENDPOINT,
+    Reaction,
+    ScriptedPolicy,
+    forward_to_first,
+)
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Iterator
@@ -75,14 +81,17 @@
 def retry_on_second_endpoint(event: Any) -> list[Action]:
     """Send each request to the first endpoint, then to the second if it never ran."""
     if isinstance(event, AttemptFinished) and event.outcome.never_ran:
-        return [StartAttempt(event.request_id, SECOND, 0.0)]
+        return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
     return forward_to_first(event)
 
 
 def hedge_on_second_endpoint(event: Any) -> list[Action]:
     """Send each request to the first two endpoints at once."""
     if isinstance(event, Request):
-        return [StartAttempt(event.request_id, FIRST, 0.0), StartAttempt(event.request_id, SECOND, 0.0)]
+        return [
+            StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
+            StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0),
+        ]
     return []
 
 
@@ -92,10 +101,12 @@
     return EndpointRecord(endpoint_id, 0, started_at, state, 0, 0, 1.0)
 
 
-DRAINING = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST, EndpointState.DRAINING),))
-GONE = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST, EndpointState.GONE),))
-LEFT_OUT = EndpointUpdate(UpdateKind.SNAPSHOT, LIST_VERSION, (make_record(SECOND),))
-MOVED = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST, started_at=9.0),))
+DRAINING = EndpointUpdate(
+    UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, EndpointState.DRAINING),)
+)
+GONE = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, EndpointState.GONE),))
+LEFT_OUT = EndpointUpdate(UpdateKind.SNAPSHOT, LIST_VERSION, (make_record(SECOND_ENDPOINT),))
+MOVED = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, started_at=9.0),))
 
 
 # Guards against a request that is written to an endpoint which was reported as leaving while the connection
@@ -117,7 +128,7 @@
         gated_gateway(leaving, other, react=retry_on_second_endpoint) as gateway,
         HttpClient(gateway.process.listener) as client,
     ):
-        waiting = asyncio.create_task(client.ask(NON_IDEMPOTENT_CLASS))
+        waiting = asyncio.create_task(client.send_request(NON_IDEMPOTENT_CLASS))
         await until(lambda: gateway.loop.connects == 1)
         pools = gateway.driver.upstream.pools
         addresses = {record.endpoint_id: pools[record.endpoint_id].address for record in update.records}
@@ -138,13 +149,13 @@
     silent = FakeEndpoint(keep_silent)
     second = FakeEndpoint()
     async with gated_gateway(silent, second, react=hedge_on_second_endpoint) as gateway:
-        gateway.open_at_once(FIRST)
+        gateway.open_at_once(FIRST_ENDPOINT)
         async with HttpClient(gateway.process.listener) as client:
-            client.writer.write(client.request())
+            client.writer.write(client.encode_request())
             await until(lambda: silent.seen and gateway.loop.connects == 2)
         await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
         gateway.loop.open.set()
-        await until(lambda: gateway.driver.upstream.pools[SECOND].idle)
+        await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT].idle)
         assert not second.seen
 
 
@@ -155,29 +166,32 @@
     async with gated_gateway(endpoint, react=forward_to_first) as gateway:
         listener = gateway.process.listener
         async with HttpClient(listener) as client:
-            client.writer.write(client.request(NON_IDEMPOTENT_CLASS))
+            client.writer.write(client.encode_request(NON_IDEMPOTENT_CLASS))
             await until(lambda: gateway.loop.connects == 1)
         await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
         assert not gateway.driver.open_requests
         assert not listener.budget.open_request_ids
         gateway.loop.open.set()
-        await until(lambda: gateway.driver.upstream.pools[FIRST].idle)  # opened anyway, it is pooled
+        await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle)  # opened anyway, it is pooled
         async with HttpClient(listener) as client:
-            assert (await client.ask(Request_Id="second")).status == 200
+            assert (await client.send_request(Request_Id="second")).status == 200
         assert request_ids(endpoint.seen) == ["second"]
 
 
 def attempt_second_then_first(event: Any) -> list[Action]:
     """Send each request to the second endpoint, and a hedged one to the first."""
     if isinstance(event, Request):
-        return [StartAttempt(event.request_id, SECOND, 0.0), StartAttempt(event.request_id, FIRST, 0.0)]
+        return [
+            StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0),
+            StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
+        ]
     return []
 
 
 def attempt_second_then_reject(event: Any) -> list[Action]:
     """Send each request to the second endpoint, and reject it."""
     if isinstance(event, Request):
-        return [StartAttempt(event.request_id, SECOND, 0.0), Reject(event.request_id, 0.0)]
+        return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0), Reject(event.request_id, 0.0)]
     return []
 
 
@@ -197,12 +211,12 @@
         gated_gateway(FakeEndpoint(), second, react=react) as gateway,
         HttpClient(gateway.process.listener) as client,
     ):
-        gateway.open_at_once(FIRST)
-        assert (await client.ask(Request_Id="once")).status == status
+        gateway.open_at_once(FIRST_ENDPOINT)
+        assert (await client.send_request(Request_Id="once")).status == status
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not gateway.driver.open_requests)
         gateway.loop.open.set()
-        await until(lambda: gateway.driver.upstream.pools[SECOND].idle)
+        await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT].idle)
         assert "once" not in request_ids(second.seen)
 
 
@@ -215,18 +229,18 @@
     def react(event: Any) -> list[Action]:
         is_warm_up = isinstance(event, Request) and event.request_id == 1
         if is_warm_up:
-            return [StartAttempt(event.request_id, SECOND, 0.0)]
+            return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
         return attempt_second_then_first(event)
 
     second = FakeEndpoint()
     async with gateway_with_client(FakeEndpoint(), second, react=react, **LONG_CONNECT_TIMEOUT) as gateway:
-        assert (await gateway.client.ask(Request_Id="warm")).status == 200
+        assert (await gateway.client.send_request(Request_Id="warm")).status == 200
         monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
-        assert (await gateway.client.ask(Request_Id="once")).status == 200
+        assert (await gateway.client.send_request(Request_Id="once")).status == 200
         driver = gateway.process.driver
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not driver.open_requests)
-        await until(lambda: driver.upstream.pools[SECOND].idle)
+        await until(lambda: driver.upstream.pools[SECOND_ENDPOINT].idle)
         assert "once" not in request_ids(second.seen)
 
 
@@ -246,11 +260,11 @@
     with slow_listener() as slow:
         address = f"{LOOPBACK}:{slow.getsockname()[1]}"
         async with gated_gateway(address, react=forward_to_first) as gateway:
-            pool = gateway.driver.upstream.pools[FIRST]
+            pool = gateway.driver.upstream.pools[FIRST_ENDPOINT]
             gateway.loop.has_small_buffers = True
             gateway.loop.open.set()
             async with HttpClient(gateway.process.listener) as client:
-                client.writer.write(client.request(NON_IDEMPOTENT_CLASS, body=LARGE_BODY))
+                client.writer.write(client.encode_request(NON_IDEMPOTENT_CLASS, body=LARGE_BODY))
                 await until(lambda: any(connection.has_unsent_bytes for connection in pool.connections))
             await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
             assert not pool.connections
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -32,7 +32,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    def request(
+    def encode_request(
         self, class_index: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str
     ) -> bytes:
         """Return the bytes of a request; a header that is empty is left out."""
@@ -60,8 +60,8 @@
         self.writer.write(data)
         return await read_message(self.reader)
 
-    async def ask(
+    async def send_request(
         self, class_index: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str
     ) -> Message:
         """Send a request and return the next response."""
-        return await self.send(self.request(class_index, timeout_ms, body, **headers))
+        return await self.send(self.encode_request(class_index, timeout_ms, body, **headers))
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -8,8 +8,9 @@
 from gateway.policy.actions import Action, Fail, StartAttempt
 from gateway.policy.events import AttemptFinished, Event, Outcome, Request
 
-FIRST = 0x00000001  # the id of the first endpoint
-SECOND = 0x00000002
+# Ids of the endpoints of a running gateway, in the order in which the test passes them.
+FIRST_ENDPOINT = 0x00000001
+SECOND_ENDPOINT = 0x00000002
 
 Reaction = Callable[[Any], list[Action]]
 EventT = TypeVar("EventT")
@@ -33,9 +34,9 @@
 
     def outcomes(self) -> list[Outcome]:
         """Return the outcomes of the attempts that have finished."""
-        return [event.outcome for event in self.of(AttemptFinished)]
+        return [event.outcome for event in self.events_of_type(AttemptFinished)]
 
-    def of(self, kind: type[EventT]) -> list[EventT]:
+    def events_of_type(self, kind: type[EventT]) -> list[EventT]:
         """Return the events of a type."""
         return [event for event in self.events if isinstance(event, kind)]
 
@@ -48,7 +49,7 @@
 def forward_to_first(event: Any) -> list[Action]:
     """Forward each request to the first endpoint, and fail it when that did not serve."""
     if isinstance(event, Request):
-        return [StartAttempt(event.request_id, FIRST, 0.0)]
+        return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)]
     if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
         return [Fail(event.request_id)]
     return []
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -11,7 +11,7 @@
 from tests.support.gateway import running_gateway
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import Message, http_response, read_message
-from tests.support.scripted_policy import FIRST, ScriptedPolicy
+from tests.support.scripted_policy import FIRST_ENDPOINT, ScriptedPolicy
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
@@ -31,10 +31,10 @@
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             waiting.append(event.request_id)
-            return [StartAttempt(event.request_id, FIRST, 0.0)] if len(waiting) == 1 else []
+            return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)] if len(waiting) == 1 else []
         if isinstance(event, AttemptFinished):
             waiting.pop(0)
-            following: list[Action] = [StartAttempt(waiting[0], FIRST, 0.0)] if waiting else []
+            following: list[Action] = [StartAttempt(waiting[0], FIRST_ENDPOINT, 0.0)] if waiting else []
             return following if event.outcome is Outcome.OK else [Fail(event.request_id), *following]
         return []
 
@@ -51,8 +51,8 @@
 
     async def ask_both(self) -> list[Message]:
         """Send a request of each client, with the ids `one` and `two`, and return the responses."""
-        self.first.writer.write(self.first.request(Request_Id="one"))
-        self.second.writer.write(self.second.request(Request_Id="two"))
+        self.first.writer.write(self.first.encode_request(Request_Id="one"))
+        self.second.writer.write(self.second.encode_request(Request_Id="two"))
         return [await read_message(self.first.reader), await read_message(self.second.reader)]
 
 
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -6,7 +6,7 @@
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint
 from tests.support.gateway import gateway_with_client
-from tests.support.scripted_policy import FIRST
+from tests.support.scripted_policy import FIRST_ENDPOINT
 from tests.support.upstream import echo_request_id
 
 NEW_ENDPOINT_ID = 9
@@ -18,11 +18,11 @@
 async def test_a_new_endpoint_at_an_old_address_does_not_get_the_old_ones_attempts() -> None:
     endpoint = FakeEndpoint(echo_request_id)
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask()).status == 200
+        assert (await gateway.client.send_request()).status == 200
         upstream = gateway.process.driver.upstream
-        upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST].address, 0.0)
+        upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST_ENDPOINT].address, 0.0)
         await until(lambda: not endpoint.open)
-        assert (await gateway.client.ask()).status == 502  # still meant for the old one
+        assert (await gateway.client.send_request()).status == 502  # still meant for the old one
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
         assert len(endpoint.seen) == 1
         assert list(upstream.pools) == [NEW_ENDPOINT_ID]
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -16,7 +16,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
 from tests.support.http_messages import http_response, read_message
-from tests.support.scripted_policy import FIRST
+from tests.support.scripted_policy import FIRST_ENDPOINT
 from tests.support.upstream import echo_request_id, two_clients
 
 if TYPE_CHECKING:
@@ -56,16 +56,16 @@
             writer.write(echo_request_id(await read_message(reader)))
 
     async with gateway_with_client(handle) as gateway:
-        assert (await gateway.client.ask(Request_Id="one")).body == b"one"
+        assert (await gateway.client.send_request(Request_Id="one")).body == b"one"
         upstream = gateway.process.driver.upstream
-        (connection,) = upstream.pools[FIRST].idle
+        (connection,) = upstream.pools[FIRST_ENDPOINT].idle
         assert connection.is_usable()
         # No step of the loop lies between these: the bytes are in the socket, not yet read.
         writers[0].write(http_response(body=b"a late second copy"))
         assert not connection.is_usable()
         results: list[Any] = []
         payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-        upstream.start_attempt(FIRST, payload, 1.0, results.append)
+        upstream.start_attempt(FIRST_ENDPOINT, payload, 1.0, results.append)
         await until(lambda: results)
         assert results[0].body == b"two"
 
@@ -101,11 +101,11 @@
 async def test_a_malformed_response_ends_its_attempt_at_once_and_may_have_run(malformed: bytes) -> None:
     endpoint = FakeEndpoint(lambda _message: malformed)
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask()).status == 502
+        assert (await gateway.client.send_request()).status == 502
         # Not RESET, for which the policy avoids an endpoint: one that sends malformed responses is up.
         assert gateway.policy.outcomes() == [Outcome.ERROR]
         assert not Outcome.ERROR.never_ran
-        (finished,) = gateway.policy.of(AttemptFinished)
+        (finished,) = gateway.policy.events_of_type(AttemptFinished)
         assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
         await until(lambda: not endpoint.open)
 
@@ -152,11 +152,11 @@
 @async_test
 async def test_a_response_without_framing_ends_with_its_connection() -> None:
     async with gateway_with_client(endpoint_that_ends_by(ResponseEnd.CLOSE)) as gateway:
-        response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
+        response = await gateway.client.send_request(NON_IDEMPOTENT_CLASS)
         assert response.status == 200
         assert response.body == b"something"
         assert gateway.policy.outcomes() == [Outcome.OK]
-        assert not gateway.process.driver.upstream.pools[FIRST].idle
+        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT].idle
 
 
 # Guards against taking part of a response for all of it: a reset does not end it.
@@ -171,8 +171,8 @@
 @async_test
 async def test_a_response_without_framing_does_not_end_by_a_reset_or_in_its_middle(end: ResponseEnd) -> None:
     async with gateway_with_client(endpoint_that_ends_by(end)) as gateway:
-        response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
+        response = await gateway.client.send_request(NON_IDEMPOTENT_CLASS)
         assert response.status == 502
         assert response.body == b""
         assert gateway.policy.outcomes() == [Outcome.RESET]
-        assert not gateway.process.driver.upstream.pools[FIRST].idle
+        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT].idle
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -12,7 +12,7 @@
 from tests.support.gateway import running_gateway
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import read_message
-from tests.support.scripted_policy import FIRST, forward_to_first
+from tests.support.scripted_policy import FIRST_ENDPOINT, forward_to_first
 from tests.support.upstream import echo_request_id, two_clients
 
 if TYPE_CHECKING:
@@ -64,11 +64,11 @@
     endpoint = FakeEndpoint(echo_request_id)
     async with running_gateway(endpoint, react=forward_to_first) as (gateway, policy):
         async with HttpClient(gateway.listener) as client:
-            assert (await client.ask(Request_Id="one")).body == b"one"
-            client.writer.write(client.request(NON_IDEMPOTENT_CLASS, Request_Id="two"))
-            await until(lambda: gateway.driver.upstream.pools[FIRST].waiting)
-        await until(lambda: policy.of(ClientDisconnected))
+            assert (await client.send_request(Request_Id="one")).body == b"one"
+            client.writer.write(client.encode_request(NON_IDEMPOTENT_CLASS, Request_Id="two"))
+            await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].waiting)
+        await until(lambda: policy.events_of_type(ClientDisconnected))
         assert policy.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
         async with HttpClient(gateway.listener) as client:
-            assert (await client.ask(Request_Id="three")).body == b"three"
+            assert (await client.send_request(Request_Id="three")).body == b"three"
         assert [message.headers["request-id"] for message in endpoint.seen] == ["one", "three"]
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -69,9 +69,9 @@
     endpoint = FakeEndpoint(respond)
     async with gateway_with_client(endpoint) as gateway:
         for _ in range(2):
-            response = await gateway.client.ask()
+            response = await gateway.client.send_request()
             assert response.status == 200
             assert response.body == b"done"
-        finished = gateway.policy.of(AttemptFinished)
+        finished = gateway.policy.events_of_type(AttemptFinished)
         assert [event.load_report for event in finished] == [(), ()]
         assert endpoint.opened == 1  # the connection goes on being used
