--- a/gateway/driver/__init__.py
+++ b/gateway/driver/__init__.py
@@ -1,1 +1,1 @@
-"""The policy driver: it delivers events to the policy and executes the actions that the policy returns."""
+"""The policy driver: delivers events to the policy and executes the actions that the policy returns."""
--- a/gateway/driver/action_executor.py
+++ b/gateway/driver/action_executor.py
@@ -1,11 +1,11 @@
-"""The execution of the policy's actions."""
+"""Executes the actions that the policy returns."""
 
 from __future__ import annotations
 
 import logging
 from typing import TYPE_CHECKING, Any
 
-from gateway.driver.open_request import FAILED, REJECTED, Response
+from gateway.driver.open_request import STATUS_FAILED, STATUS_REJECTED, Response
 from gateway.policy.actions import (
     Action,
     AddToCounter,
@@ -34,10 +34,10 @@
 
 
 class ActionExecutor:
-    """Executes actions one by one; an action that fails does not keep the next one from being executed.
+    """Executes actions one by one; an error in one action does not stop the actions after it.
 
     Attributes:
-        counter: Executes counter calls; None without a shared counter.
+        counter: Client of the central counter service; None if the process has no counter.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._upstream = upstream
         self._open_requests = open_requests
         self._deliver = deliver
-        self._unsupported_actions: set[str] = set()  # type names that have been logged
+        self._unsupported_actions: set[str] = set()  # type names already logged
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
             StartAttempt: attempts.start,
             Cancel: attempts.cancel,
@@ -66,13 +66,16 @@
         }
 
     def use_counter(self, counter: CounterClient) -> None:
-        """Execute counter calls with a client from now on."""
+        """Execute counter calls through this client from now on."""
         self.counter = counter
 
     def execute(self, action: Action) -> None:
-        """Execute an action; an error is logged, and the request that it concerns gets a response."""
-        # The remaining actions have no meaning here: the endpoint list is always watched, and gateways have
-        # no channel to each other.
+        """Execute an action.
+
+        If it raises an exception, log the exception and make sure that the action's request gets a response.
+        """
+        # Actions without a handler do not apply to this process: it always watches the endpoint list, and
+        # gateways have no channel to each other.
         handler = self._handlers.get(type(action), self._log_unsupported)
         try:
             handler(action)
@@ -82,11 +85,11 @@
                 self._open_requests.respond_after_error(action.request_id)
 
     def _reject(self, action: Reject) -> None:
-        rejection = Response(REJECTED, retry_after=action.retry_after)
+        rejection = Response(STATUS_REJECTED, retry_after=action.retry_after)
         self._open_requests.finish(action.request_id, rejection)
 
     def _fail(self, action: Fail) -> None:
-        self._open_requests.finish(action.request_id, Response(FAILED))
+        self._open_requests.finish(action.request_id, Response(STATUS_FAILED))
 
     def _add_to_counter(self, action: AddToCounter) -> None:
         if self.counter is None:
@@ -103,7 +106,7 @@
         self._upstream.probe(endpoint_id, on_finished)
 
     def _log_unsupported(self, action: Action) -> None:
-        """Log an action that this process does not support, once for each type."""
+        """Log an action that this process does not support, once per action type."""
         action_type = type(action).__name__
         if action_type not in self._unsupported_actions:
             self._unsupported_actions.add(action_type)
--- a/gateway/driver/clock.py
+++ b/gateway/driver/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the policy sees."""
+"""The clock from which the policy gets the time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class UnixClock:
-    """A clock of Unix time in seconds, whose time never goes back.
+    """A clock of Unix time in seconds that never goes backwards.
 
-    Lease windows are computed from this time, so all gateways need the same clock.
+    Gateways compute lease windows from this time, so all of them need the same time base.
 
     Attributes:
-        latest: The latest time that was read from the clock; 0 before the first one.
+        latest: The time that `read` returned last; 0 before the first call.
     """
 
     __slots__ = ("latest",)
@@ -20,6 +20,6 @@
         self.latest = 0.0
 
     def read(self) -> float:
-        """Return the present time, or the latest one if the system's clock was set back."""
+        """Return the current time, or the latest returned time if the system clock was set back."""
         self.latest = max(self.latest, time.time())
         return self.latest
--- a/gateway/driver/endpoint_connections.py
+++ b/gateway/driver/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""The application of endpoint updates to the upstream connections."""
+"""Applies updates of the endpoint list to the upstream connections."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 def apply_to_connections(
     upstream: UpstreamClient, update: EndpointUpdate, addresses: dict[int, Address]
 ) -> None:
-    """Add, move and remove the endpoints of an update at the upstream client.
+    """Add, update and remove the endpoints of an update in the upstream client.
 
     Args:
-        upstream: The connections to all endpoints.
+        upstream: Has a connection pool for each endpoint.
         update: The snapshot or delta of the endpoint list.
-        addresses: Address of each endpoint of the update that is not gone, by endpoint id.
+        addresses: Addresses by endpoint id, of all endpoints in the update that are not gone.
     """
     if update.kind is not UpdateKind.DELTA:
-        for endpoint_id in [known for known in upstream.pools if known not in addresses]:
+        for endpoint_id in [pooled for pooled in upstream.pools if pooled not in addresses]:
             upstream.remove_endpoint(endpoint_id)
     for record in update.records:
         _apply_record(upstream, record, addresses)
--- a/gateway/driver/event_queue.py
+++ b/gateway/driver/event_queue.py
@@ -1,4 +1,4 @@
-"""The queue of events for the policy."""
+"""The queue of events to be delivered to the policy."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
         self._is_processing = False
 
     def deliver(self, event: Event) -> None:
-        """Process an event, and then the events that are delivered while it is processed.
+        """Process an event, followed by the events that its processing delivers.
 
-        An event that is delivered while another one is processed is queued behind it.
+        When called while another event is being processed, append the event to the queue instead.
         """
         self._events.append(event)
         if self._is_processing:
--- a/gateway/driver/open_request.py
+++ b/gateway/driver/open_request.py
@@ -1,4 +1,4 @@
-"""An open request, and the response that closes it."""
+"""The state of an open request, and the final response to it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from gateway.policy.settings import Limits
     from gateway.upstream.attempt import Attempt
 
-# The statuses of responses.  Looked up once: access to a member through its class takes a Python call in
-# Python 3.11.
-SERVED = HTTPStatus.OK.value
-REJECTED = HTTPStatus.SERVICE_UNAVAILABLE.value
-FAILED = HTTPStatus.BAD_GATEWAY.value
-TIMED_OUT = HTTPStatus.GATEWAY_TIMEOUT.value
+# HTTP statuses of final responses.  They are looked up once, because accessing an enum member through its
+# class costs a Python function call in Python 3.11.
+STATUS_SERVED = HTTPStatus.OK.value
+STATUS_REJECTED = HTTPStatus.SERVICE_UNAVAILABLE.value
+STATUS_FAILED = HTTPStatus.BAD_GATEWAY.value
+STATUS_TIMED_OUT = HTTPStatus.GATEWAY_TIMEOUT.value
 
 
 @dataclass(slots=True)
@@ -28,10 +28,11 @@
     """A final response to a client.
 
     Attributes:
-        status: HTTP status: ``SERVED`` serves the request, ``REJECTED`` rejects it, any other fails it.
+        status: HTTP status.  ``STATUS_SERVED`` means that the request was served, ``STATUS_REJECTED`` that it
+            was rejected, and any other status that it failed.
         body: Body as the endpoint sent it.
-        content_type: Value of the Content-Type header; empty without one.
-        retry_after: Seconds after which the client may retry; 0 leaves the header out.
+        content_type: Value of the Content-Type header; empty for no header.
+        retry_after: Seconds after which the client may retry; 0 omits the Retry-After header.
     """
 
     status: int
@@ -40,43 +41,43 @@
     retry_after: float = 0.0
 
 
-class RequestOwner(Protocol):
-    """The frontend's side of a request.  The driver calls all methods; each says when."""
+class ClientRequest(Protocol):
+    """A client's request as the frontend submits it.  All methods are called by the driver."""
 
     def build_event(self, request_id: int) -> Request:
-        """Return the policy's event for the request.  Called once, as the request is opened."""
+        """Return the event for the policy.  Called once, when the request is opened."""
 
     def encode_for_endpoint(self, timeout: float) -> bytes:
-        """Return the bytes to send to an endpoint, given the attempt's timeout in seconds."""
+        """Return the bytes to send to an endpoint for an attempt with this timeout in seconds."""
 
-    def reply(self, response: Response) -> None:
-        """Send the response.  Called at most once, and not after the client has disconnected."""
+    def respond(self, response: Response) -> None:
+        """Send the response.  Called at most once, and never after the client has disconnected."""
 
     def release(self) -> None:
-        """Free what is held for the request.  Called once, when it is closed and has no attempt in flight."""
+        """Free the request's resources.  Called once, when it is closed and has no attempt in flight."""
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that has no response yet, or has attempts in flight.
+    """A request that has no final response yet or still has attempts in flight.
 
     Attributes:
-        request_id: The policy's number for the request.
-        owner: Encodes the request for endpoints and receives the response.
+        request_id: Number that identifies the request to the policy.
+        client_request: Encodes the request for endpoints and sends the response to the client.
         deadline: Monotonic time in seconds at which the client stops waiting.
-        deadline_timer: Responds shortly before the deadline.
-        attempts: The attempts in flight, by attempt number.
-        attempts_started: How many attempts were started; the number of the next one.
+        deadline_timer: Responds to the client shortly before the deadline.
+        attempts: Attempts in flight, by attempt number.
+        attempt_count: Number of attempts so far, which is also the number of the next one.
         may_have_run: Whether an endpoint may have executed the request.
-        is_closed: Whether the request has its response, or its client has disconnected.
+        is_closed: Whether the response was sent or the client has disconnected.
     """
 
     request_id: int
-    owner: RequestOwner
+    client_request: ClientRequest
     deadline: float
     deadline_timer: asyncio.TimerHandle | None = None
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    attempts_started: int = 0
+    attempt_count: int = 0
     may_have_run: bool = False
     is_closed: bool = False
 
@@ -86,28 +87,31 @@
         return self.is_closed and not self.attempts
 
     def start_deadline_timer(self, seconds: float, on_deadline: Callable[[OpenRequest], None]) -> None:
-        """Call back after a time in seconds unless the request is closed by then."""
+        """Call ``on_deadline`` after this many seconds unless the request is closed before."""
         loop = asyncio.get_running_loop()
         self.deadline_timer = loop.call_later(seconds, on_deadline, self)
 
     def next_attempt_number(self) -> int:
-        """Count one more attempt and return its number."""
-        number = self.attempts_started
-        self.attempts_started += 1
+        """Count an attempt and return its number."""
+        number = self.attempt_count
+        self.attempt_count += 1
         return number
 
     def may_start_attempt(self, number: int, limits: Limits) -> bool:
-        """Return whether an attempt is within the limits of the deployment, whatever the policy decides."""
+        """Return whether the limits of the settings allow this attempt.
+
+        The driver enforces them independently of the policy.
+        """
         if self.is_closed or number >= limits.max_attempts:
             return False
         return limits.may_hedge or not self.attempts
 
-    def attempt_started(self, number: int, attempt: Attempt) -> None:
-        """Add an attempt to those in flight."""
+    def add_attempt(self, number: int, attempt: Attempt) -> None:
+        """Add an attempt to the attempts in flight."""
         self.attempts[number] = attempt
 
-    def attempt_finished(self, number: int, outcome: Outcome) -> None:
-        """Remove an attempt from those in flight."""
+    def remove_attempt(self, number: int, outcome: Outcome) -> None:
+        """Remove an attempt from the attempts in flight, and note whether it may have run."""
         self.attempts.pop(number, None)
         if not outcome.never_ran:
             self.may_have_run = True
@@ -115,21 +119,24 @@
     def respond(self, response: Response) -> None:
         """Close the request with a response."""
         self.close()
-        self.owner.reply(response)
+        self.client_request.respond(response)
 
     def close(self) -> None:
-        """Close the request: no response is owed any more."""
+        """Close the request, so that no response is sent from now on."""
         self.is_closed = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
 
     def abandon_attempts(self, outcome: Outcome) -> None:
-        """Abandon all attempts in flight with an outcome."""
+        """Abandon all attempts in flight; they finish with this outcome if they were written."""
         for attempt in list(self.attempts.values()):
             attempt.abandon(outcome)
 
     def cancel_unwritten_attempts(self) -> None:
-        """Cancel the attempts that are not completely written, as the request is closed: they never ran."""
+        """Cancel all attempts whose bytes are not written completely.
+
+        Called for a closed request, whose incomplete attempts cannot have run and must not run any more.
+        """
         for attempt in list(self.attempts.values()):
             if attempt.connection is None or attempt.connection.has_unsent_bytes:
                 attempt.abandon(Outcome.CANCELLED)
--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -1,21 +1,29 @@
-"""The open requests of the process: their numbers, their deadlines and what closes them."""
+"""The open requests of the process: assigns their ids, enforces their deadlines and closes them."""
 
 from __future__ import annotations
 
 import time
 from typing import TYPE_CHECKING
 
-from gateway.driver.open_request import FAILED, REJECTED, TIMED_OUT, OpenRequest, RequestOwner, Response
+from gateway.driver.open_request import (
+    STATUS_FAILED,
+    STATUS_REJECTED,
+    STATUS_TIMED_OUT,
+    ClientRequest,
+    OpenRequest,
+    Response,
+)
 from gateway.policy.events import ClientDisconnected, Event, Outcome
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-RESPONSE_MARGIN_SECONDS = 0.015  # before the client's deadline: the driver responds if the policy has not
+# Time before the client's deadline at which the driver responds if the policy has not decided yet.
+RESPONSE_MARGIN_SECONDS = 0.015
 
 
 class OpenRequests:
-    """The requests that are not released, by request id; ``len`` counts them."""
+    """All requests that are not released yet, by request id; ``len`` returns their number."""
 
     def __init__(self, deliver: Callable[[Event], None]) -> None:
         self._deliver = deliver
@@ -31,26 +39,29 @@
         return sum(not request.is_closed for request in self._requests.values())
 
     def get(self, request_id: int) -> OpenRequest | None:
-        """Return the open request with an id, or None if it is released."""
+        """Return the request with this id, or None if there is none or it was released."""
         return self._requests.get(request_id)
 
-    def open(self, owner: RequestOwner, deadline: float) -> OpenRequest:
-        """Open a request, start its deadline timer and deliver it to the policy.
+    def open(self, client_request: ClientRequest, deadline: float) -> OpenRequest:
+        """Open a request, start its deadline timer and deliver its event to the policy.
 
         Args:
-            owner: The frontend's side of the request.
+            client_request: The request as the frontend submits it.
             deadline: Monotonic time in seconds at which the client stops waiting.
         """
         self._last_request_id += 1
-        request = OpenRequest(self._last_request_id, owner, deadline)
+        request = OpenRequest(self._last_request_id, client_request, deadline)
         self._requests[request.request_id] = request
         time_remaining = deadline - RESPONSE_MARGIN_SECONDS - time.monotonic()
         request.start_deadline_timer(max(0.0, time_remaining), self._handle_deadline)
-        self._deliver(owner.build_event(request.request_id))
+        self._deliver(client_request.build_event(request.request_id))
         return request
 
-    def client_disconnected(self, request: OpenRequest) -> None:
-        """Close a request without a response: written attempts run on, unwritten ones are cancelled."""
+    def handle_client_disconnect(self, request: OpenRequest) -> None:
+        """Close a request whose client has disconnected.
+
+        Attempts whose bytes are written completely continue; the others are cancelled.
+        """
         if request.is_closed:
             return
         request.close()
@@ -59,7 +70,7 @@
         self.release_if_done(request)
 
     def finish(self, request_id: int, response: Response) -> None:
-        """Respond to a request as the policy decided, unless it is closed."""
+        """Send the response that the policy decided on, unless the request is closed."""
         request = self.get(request_id)
         if request is None or request.is_closed:
             return
@@ -68,35 +79,36 @@
         self.release_if_done(request)
 
     def respond_after_error(self, request_id: int) -> None:
-        """Respond to a request that an error has left without a response and without attempts in flight.
+        """Respond to a request after an exception, if no attempt is in flight that could still complete it.
 
-        The status is 503 only if no endpoint has executed the request.
+        The status is 503 only if no endpoint can have executed the request, and 502 otherwise.
         """
         request = self.get(request_id)
         if request is None or request.is_closed or request.attempts:
             return
-        status = FAILED if request.may_have_run else REJECTED
+        status = STATUS_FAILED if request.may_have_run else STATUS_REJECTED
         request.respond(Response(status))
         self._deliver(ClientDisconnected(request_id))
         self.release_if_done(request)
 
     def close_all(self) -> None:
-        """Respond to all open requests, as the process is about to end."""
+        """Respond to all open requests, because the process is about to exit."""
         for request in list(self._requests.values()):
             self._handle_deadline(request)
 
     def release_if_done(self, request: OpenRequest) -> None:
         """Release a request that is closed and has no attempt in flight."""
         if request.is_done and self._requests.pop(request.request_id, None) is not None:
-            request.owner.release()
+            request.client_request.release()
 
     def _handle_deadline(self, request: OpenRequest) -> None:
-        """Respond to a request whose deadline is near, whatever the policy does."""
+        """Respond to a request just before its deadline, independently of the policy."""
         if request.is_closed:
             return
         request.abandon_attempts(Outcome.TIMEOUT)
-        if request.is_closed:  # an attempt that never ran ends at once, and the policy may have responded
+        # Abandoning an unwritten attempt delivers its outcome at once, and the policy may respond to that.
+        if request.is_closed:
             return
-        request.respond(Response(TIMED_OUT))
+        request.respond(Response(STATUS_TIMED_OUT))
         self._deliver(ClientDisconnected(request.request_id))
         self.release_if_done(request)
--- a/gateway/driver/policy_driver.py
+++ b/gateway/driver/policy_driver.py
@@ -1,4 +1,4 @@
-"""The policy driver as the frontend and the process use it: it wires the parts of the driver together."""
+"""The interface of the policy driver to the frontend and the process; wires the driver's parts together."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from gateway.address import Address
     from gateway.counter.client import CounterClient
-    from gateway.driver.open_request import OpenRequest, RequestOwner
+    from gateway.driver.open_request import ClientRequest, OpenRequest
     from gateway.policy.actions import Action
     from gateway.policy.engine import Policy
     from gateway.upstream.client import UpstreamClient
@@ -26,12 +26,12 @@
 
 
 class PolicyDriver:
-    """Connects one policy to the sockets of one process.
+    """Connects the policy to the sockets of the process.
 
     Attributes:
-        policy: Makes the decisions; it performs no I/O of its own.
+        policy: Makes all decisions; performs no I/O itself.
         upstream: Executes attempts and probes.
-        open_requests: The requests that are not released.
+        open_requests: All requests that are not released yet.
     """
 
     def __init__(self, policy: Policy, upstream: UpstreamClient) -> None:
@@ -51,44 +51,47 @@
 
     @property
     def now(self) -> float:
-        """The Unix time of the latest event, in seconds."""
+        """Unix time in seconds at which the policy's clock was last read."""
         return self._clock.latest
 
     @property
     def counter(self) -> CounterClient | None:
-        """The client that executes counter calls; None without a shared counter."""
+        """Client of the central counter service; None if the process has no counter."""
         return self._executor.counter
 
     def use_counter(self, counter: CounterClient) -> None:
-        """Execute counter calls with a client from now on."""
+        """Execute counter calls through this client from now on."""
         self._executor.use_counter(counter)
 
     def deliver(self, event: Event) -> None:
-        """Deliver an event to the policy and execute its actions.
+        """Deliver an event to the policy and execute the actions that it returns.
 
-        Events that these actions cause are delivered after them, in order.
+        Events that these actions cause are delivered after all of them have been executed, in order.
         """
         self._events.deliver(event)
 
-    def submit(self, owner: RequestOwner, deadline: float) -> OpenRequest:
-        """Open a request and deliver it to the policy.
+    def submit(self, client_request: ClientRequest, deadline: float) -> OpenRequest:
+        """Open a request and deliver its event to the policy.
 
         Args:
-            owner: The frontend's side of the request.
+            client_request: The request as the frontend submits it.
             deadline: Monotonic time in seconds at which the client stops waiting.
         """
-        return self.open_requests.open(owner, deadline)
+        return self.open_requests.open(client_request, deadline)
 
-    def client_disconnected(self, request: OpenRequest) -> None:
-        """Close a request without a response: written attempts run on, unwritten ones are cancelled."""
-        self.open_requests.client_disconnected(request)
+    def handle_client_disconnect(self, request: OpenRequest) -> None:
+        """Close a request whose client has disconnected.
+
+        Attempts whose bytes are written completely continue; the others are cancelled.
+        """
+        self.open_requests.handle_client_disconnect(request)
 
     def apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[int, Address]) -> None:
-        """Apply a snapshot or delta of the endpoint list to the connections, then deliver it to the policy.
+        """Apply an update of the endpoint list to the connections, then deliver it to the policy.
 
         Args:
             update: The snapshot or delta.
-            addresses: Address of each endpoint of the update that is not gone, by endpoint id.
+            addresses: Addresses by endpoint id, of all endpoints in the update that are not gone.
         """
         apply_to_connections(self.upstream, update, addresses)
         self.deliver(update)
@@ -99,7 +102,8 @@
         try:
             actions = self.policy.handle(self._clock.read(), event)
         except Exception:
-            # An error on one event must not lose other requests: the actions decided before it are executed.
+            # An error on one event must not lose other requests, so the actions that the policy had decided
+            # on before the error are executed.
             log.exception("the policy failed on %s", type(event).__name__)
             actions = self.policy.actions
             policy_failed = True
--- a/gateway/driver/request_attempts.py
+++ b/gateway/driver/request_attempts.py
@@ -1,11 +1,11 @@
-"""The attempts of open requests, from the policy's decision to the event with the outcome."""
+"""Starts and cancels the attempts of open requests, and reports their outcomes to the policy."""
 
 from __future__ import annotations
 
 import time
 from typing import TYPE_CHECKING
 
-from gateway.driver.open_request import SERVED, OpenRequest, Response
+from gateway.driver.open_request import STATUS_SERVED, OpenRequest, Response
 from gateway.policy.events import AttemptFinished, Event, Outcome
 
 if TYPE_CHECKING:
@@ -17,12 +17,12 @@
     from gateway.upstream.attempt import AttemptResult
     from gateway.upstream.client import UpstreamClient
 
-# Before the client's deadline: an attempt ends then, so that the policy can still respond.
+# Time before the client's deadline at which attempts time out, so that the policy can still respond.
 ATTEMPT_MARGIN_SECONDS = 0.030
 
 
 class RequestAttempts:
-    """Starts and cancels attempts; delivers an ``AttemptFinished`` event for each one that was to start."""
+    """Starts and cancels attempts; delivers an ``AttemptFinished`` event for each ``StartAttempt`` action."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._deliver = deliver
 
     def start(self, action: StartAttempt) -> None:
-        """Start an attempt, unless the request is closed, out of time or at its limit of attempts."""
+        """Start an attempt, unless the request is closed, near its deadline or at an attempt limit."""
         request = self._open_requests.get(action.request_id)
         if request is None:
             self._report_not_started(action, number=0, request_closed=True)
@@ -52,20 +52,23 @@
         def on_finished(result: AttemptResult) -> None:
             self._handle_finished(request, number, action.endpoint_id, result)
 
-        payload = request.owner.encode_for_endpoint(timeout)
+        payload = request.client_request.encode_for_endpoint(timeout)
         attempt = self._upstream.start_attempt(action.endpoint_id, payload, timeout, on_finished)
         if not attempt.is_finished:
-            request.attempt_started(number, attempt)
+            request.add_attempt(number, attempt)
 
     def cancel(self, action: Cancel) -> None:
-        """Abandon an attempt that is in flight."""
+        """Abandon an attempt if it is in flight."""
         request = self._open_requests.get(action.request_id)
         attempt = request.attempts.get(action.attempt) if request is not None else None
         if attempt is not None:
             attempt.abandon(Outcome.CANCELLED)
 
     def _report_not_started(self, action: StartAttempt, number: int, *, request_closed: bool) -> None:
-        """Tell the policy, after its present actions, that an attempt was not started."""
+        """Report to the policy that an attempt was not started.
+
+        The event is delivered after the policy's current actions have been executed.
+        """
         self._deliver(
             AttemptFinished(
                 request_id=action.request_id,
@@ -83,9 +86,9 @@
     def _handle_finished(
         self, request: OpenRequest, number: int, endpoint_id: int, result: AttemptResult
     ) -> None:
-        request.attempt_finished(number, result.outcome)
+        request.remove_attempt(number, result.outcome)
         if result.outcome is Outcome.OK and not request.is_closed:
-            request.respond(Response(SERVED, result.body, result.content_type))
+            request.respond(Response(STATUS_SERVED, result.body, result.content_type))
         was_closed = request.is_closed
         self._deliver(
             AttemptFinished(
--- a/gateway/driver/timers.py
+++ b/gateway/driver/timers.py
@@ -1,4 +1,4 @@
-"""The timers of the policy."""
+"""Timers that the policy sets."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
     from gateway.driver.clock import UnixClock
 
-MIN_TIMER_SECONDS = 0.001  # the resolution of the event loop's timers
+MIN_TIMER_SECONDS = 0.001  # timer resolution of the event loop
 
 
 class PolicyTimers:
-    """Delivers a ``TimerFired`` event for each timer, never before the timer's time."""
+    """Delivers a ``TimerFired`` event for each timer, never before the time for which it is set."""
 
     def __init__(self, clock: UnixClock, deliver: Callable[[Event], None]) -> None:
         self._clock = clock
@@ -29,9 +29,10 @@
 
         Args:
             at: Unix time in seconds at which the timer fires.
-            token: The number by which the policy recognizes the timer.
+            token: Number that identifies the timer to the policy.
         """
-        # The loop counts whole milliseconds of a cached clock and may call early: `_fire` checks the time.
+        # The event loop counts whole milliseconds of a cached clock and may call too early, so `_fire` checks
+        # the time and sets the timer again if needed.
         delay = math.ceil((at - self._clock.read()) * 1000) / 1000
         self._loop.call_later(max(MIN_TIMER_SECONDS, delay), self._fire, at, token)
 
--- a/gateway/frontend/__init__.py
+++ b/gateway/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The server side: HTTP/1.1 connections of clients, their requests and their responses."""
+"""The HTTP/1.1 server: client connections, requests and responses."""
--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: socket events in, responses out in the order of their requests."""
+"""A client's connection: receives requests and sends responses in the order of the requests."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
     from gateway.frontend.request_dispatcher import RequestDispatcher
     from gateway.frontend.wait_queue import WaitQueue
 
-MAX_PIPELINED_REQUESTS = 4  # on one connection, that wait for their responses
-DISCARD_PAUSE_SECONDS = 0.01  # for a rejected client that goes on sending; bounds what reading it costs
+MAX_PIPELINED_REQUESTS = 4  # requests on one connection whose responses are not sent yet
+# Pause in reading from a rejected client that keeps sending, which limits the CPU time spent on it.
+DISCARD_PAUSE_SECONDS = 0.01
 
 
-class ConnectionOwner(Protocol):
-    """The table of all connections, as one of them sees it.
+class ConnectionRegistry(Protocol):
+    """The table of all client connections, as far as a single connection needs it.
 
-    The connection calls all methods, and enters itself into the queue of what it waits for.
+    Each connection registers itself and adds itself to the queue that matches its state.
     """
 
     new_connections: WaitQueue[ClientConnection]
@@ -34,45 +35,46 @@
     is_stopping: bool
 
     def add(self, client: ClientConnection) -> None:
-        """Count a connection that was made."""
+        """Register a new connection."""
 
     def remove(self, client: ClientConnection) -> None:
-        """Forget a connection that is lost."""
+        """Remove a connection that is lost."""
 
     def mark_write_blocked(self, client: ClientConnection) -> None:
-        """Note that a connection is not read, as its client does not read its responses."""
+        """Mark a connection as paused because its client does not read its responses."""
 
     def unmark_write_blocked(self, client: ClientConnection) -> None:
-        """Note that a connection is read again."""
+        """Mark a connection as no longer paused."""
 
 
 class ClientConnection(asyncio.Protocol):
     """One connection of a client.
 
-    It is in at most one of its owner's queues, by what it waits for; while a response is owed, in none.
+    It is in at most one of the registry's queues, depending on its state, and in none while the response to
+    a complete request is pending.
 
     The event loop calls the methods of ``asyncio.Protocol``, the reader those of ``RequestHandler``, and the
-    exchanges ``flush``.  The owner calls ``enqueue``, ``reject`` and ``abort``, and ``eof_received`` for a
-    client that has disconnected while it is not read.
+    exchanges call ``flush_responses``.  The registry calls ``move_to_queue``, ``reject`` and ``abort``, and
+    ``eof_received`` for a client that has disconnected while reading from it is paused.
 
     Attributes:
-        socket: The socket of the client.
-        reader: Reads the requests.
-        pending: The requests whose responses are not written yet, in their order.
-        queue: The queue in which the connection waits; None while it is in none.
+        socket: The client's socket.
+        reader: Parses the requests.
+        pending_exchanges: Requests whose responses are not written yet, in the order of arrival.
+        queue: The registry's queue that contains the connection; None if it is in none.
     """
 
-    def __init__(self, owner: ConnectionOwner, dispatcher: RequestDispatcher) -> None:
+    def __init__(self, registry: ConnectionRegistry, dispatcher: RequestDispatcher) -> None:
         self.socket = ClientSocket()
         self.reader = RequestReader(self)
-        self.pending: deque[Exchange] = deque()
+        self.pending_exchanges: deque[Exchange] = deque()
         self.queue: WaitQueue[ClientConnection] | None = None
-        self._owner = owner
+        self._registry = registry
         self._dispatcher = dispatcher
-        self._body = BodyReservation(dispatcher.budget)  # of the request that is being received
+        self._body = BodyReservation(dispatcher.budget)  # for the body that is being received
 
-    def enqueue(self, queue: WaitQueue[ClientConnection] | None) -> None:
-        """Move to the end of a queue, or out of all."""
+    def move_to_queue(self, queue: WaitQueue[ClientConnection] | None) -> None:
+        """Move to the end of a queue, or with None leave the current queue."""
         if self.queue is not None:
             self.queue.discard(self)
         self.queue = queue
@@ -80,9 +82,9 @@
             queue.add(self)
 
     def has_unread_bytes(self) -> bool:
-        """Return whether bytes wait to be read.
+        """Return whether the system has received bytes that are not read yet.
 
-        A connection must not be closed on a request that has arrived.
+        They may be a request, so the connection must not be closed as idle.
         """
         return not self.reader.is_closed and self.socket.has_unread_bytes()
 
@@ -90,23 +92,23 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request."""
-        self.socket.attach(cast("asyncio.Transport", transport))  # uvloop's are not its subclasses
-        self.enqueue(self._owner.new_connections)
-        self._owner.add(self)
+        self.socket.attach(cast("asyncio.Transport", transport))  # uvloop's transports are not subclasses
+        self.move_to_queue(self._registry.new_connections)
+        self._registry.add(self)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Free everything that is held for the connection."""
+        """Release the connection's resources and report the disconnect for all pending requests."""
         self.socket.detach()
-        self.enqueue(None)
-        self._owner.remove(self)
+        self.move_to_queue(None)
+        self._registry.remove(self)
         self._release_body()
-        self._disconnect_pending()
+        self._disconnect_pending_exchanges()
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; invalid bytes get an error response.
+        """Parse requests; on an invalid request, send an error response and close the connection.
 
-        Bytes behind an invalid request are read and discarded, as a reset on unread bytes could overtake the
-        response, but at a bounded pace.
+        Bytes after an invalid request are read and discarded, at a limited rate: closing a connection with
+        unread bytes makes the system send a reset, which could reach the client before the response.
         """
         if not self.reader.is_closed:
             try:
@@ -118,105 +120,110 @@
             asyncio.get_running_loop().call_later(DISCARD_PAUSE_SECONDS, self.resume_writing)
 
     def eof_received(self) -> None:
-        """Disconnect the client, which has ended its sending.
+        """Treat a client that has shut down its sending side as disconnected.
 
-        The transport closes only once all written bytes are sent, and reports nothing more until then.
+        The transport closes only once all written bytes are sent, and reports no other event before that.
         """
         self.reader.close()
-        self._disconnect_pending()
-        self.enqueue(self._owner.half_closed)  # it has as long to read as behind any last response
+        self._disconnect_pending_exchanges()
+        self.move_to_queue(self._registry.half_closed)  # with the usual time to read the written responses
 
     def pause_writing(self) -> None:
-        """Read no further requests until the client reads its responses, which must not pile up here."""
+        """Pause reading until the client reads its responses, so that they do not pile up in memory."""
         if self.socket.is_attached:
             self.socket.pause_reading()
-            self._owner.mark_write_blocked(self)
+            self._registry.mark_write_blocked(self)
 
     def resume_writing(self) -> None:
-        """Read requests again."""
-        self._owner.unmark_write_blocked(self)
+        """Resume reading requests."""
+        self._registry.unmark_write_blocked(self)
         self.socket.resume_reading()
 
     # --- called by the reader ----------------------------------------------------------------------
 
     def request_started(self) -> None:
-        """Wait for the rest of the request."""
-        if self.queue is self._owner.idle_connections:
-            self.enqueue(self._owner.receiving)
+        """Start the read timeout, which for the first request runs since the connection was made."""
+        if self.queue is self._registry.idle_connections:
+            self.move_to_queue(self._registry.receiving)
 
     def continue_expected(self) -> None:
-        """Send the 100 response that the client waits for, unless another response is owed before."""
-        if not self.pending:
+        """Send the 100 Continue response that the client expects, unless earlier responses are pending."""
+        if not self.pending_exchanges:
             self.socket.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def body_received(self, size: int) -> None:
-        """Count a part of a body among all bytes that are buffered."""
+        """Reserve bytes of the request budget for a part of a body."""
         self._body.grow(size)
 
     def request_received(self, request: ReceivedRequest) -> None:
-        """Take a complete request, which owes a response from now on."""
-        if len(self.pending) >= MAX_PIPELINED_REQUESTS:
-            # One read may bring hundreds of requests, each with a response of 64 KiB to keep for its turn.
-            raise UnavailableError("too many requests at once")
+        """Dispatch a complete request."""
+        if len(self.pending_exchanges) >= MAX_PIPELINED_REQUESTS:
+            # One read may contain hundreds of requests, each with a response of up to 64 KiB to buffer.
+            raise UnavailableError("too many pipelined requests on this connection")
         if self.socket.has_peer_closed():
-            self.eof_received()  # the client ended its sending behind the request, which may have waited here
+            # The client has disconnected after sending the request, which may have been in the socket buffer
+            # for some time.
+            self.eof_received()
             return
-        self.enqueue(None)
+        self.move_to_queue(None)
         exchange = Exchange(self, keep_alive=request.keep_alive)
-        self.pending.append(exchange)
+        self.pending_exchanges.append(exchange)
         self._dispatcher.dispatch(exchange, request, self._body)
         self._release_body()
 
     # --- responses ---------------------------------------------------------------------------------
 
     def reject(self, error: FrontendError) -> None:
-        """Send an error response, behind the responses that are still owed, and close the connection."""
+        """Send an error response after all pending responses, and close the connection."""
         if self.reader.is_closed:
             return
         self.reader.close()
         self._release_body()
-        if self.pending:
-            self.enqueue(None)  # the responses before it have their own deadlines
+        if self.pending_exchanges:
+            self.move_to_queue(None)  # the pending responses have their own deadlines
         exchange = Exchange(self, keep_alive=False)
-        self.pending.append(exchange)
-        exchange.reply(error_response(error))
+        self.pending_exchanges.append(exchange)
+        exchange.respond(error_response(error))
 
-    def flush(self) -> None:
-        """Write the responses whose turn has come; wait for the next request once none is owed."""
-        while self.pending and (response := self.pending[0].response) is not None:
-            exchange = self.pending.popleft()
+    def flush_responses(self) -> None:
+        """Write the responses that are next in order; if none is pending, wait for the next request."""
+        while self.pending_exchanges and (response := self.pending_exchanges[0].response) is not None:
+            exchange = self.pending_exchanges.popleft()
             if not self.socket.is_open:
                 continue
-            is_last = not exchange.keep_alive or (self._owner.is_stopping and not self.pending)
+            is_last = not exchange.keep_alive or (self._registry.is_stopping and not self.pending_exchanges)
             self.socket.write(encode_response(response, close=is_last))
             if is_last:
-                self._end_sending()
+                self._half_close()
                 return
-        if not self.pending and self.queue is None:
+        if not self.pending_exchanges and self.queue is None:
             is_receiving = self.reader.is_receiving
-            self.enqueue(self._owner.receiving if is_receiving else self._owner.idle_connections)
+            self.move_to_queue(self._registry.receiving if is_receiving else self._registry.idle_connections)
 
     def abort(self) -> None:
         """Close the connection at once; unsent bytes are lost."""
-        self.enqueue(None)
+        self.move_to_queue(None)
         self.socket.abort()
 
-    def _end_sending(self) -> None:
-        """End sending, but go on reading: a reset on unread bytes could overtake the response."""
+    def _half_close(self) -> None:
+        """Shut down the sending side but keep reading.
+
+        Closing with unread bytes would make the system send a reset, which could overtake the response.
+        """
         self.reader.close()
         if self.socket.is_attached:
             self.socket.write_eof()
-            self.enqueue(self._owner.half_closed)
-            self._disconnect_pending()  # those that were pipelined behind the last one
+            self.move_to_queue(self._registry.half_closed)
+            self._disconnect_pending_exchanges()  # requests that were pipelined after the last one
 
-    def _disconnect_pending(self) -> None:
-        """Tell the driver for each response that is still owed that the client has disconnected."""
-        pending = self.pending
-        self.pending = deque()
+    def _disconnect_pending_exchanges(self) -> None:
+        """Tell the driver for each pending request that the client has disconnected."""
+        pending = self.pending_exchanges
+        self.pending_exchanges = deque()
         for exchange in pending:
             exchange.disconnect()
 
     def _release_body(self) -> None:
-        """Free what is buffered of a body that is not part of an open request."""
+        """Free the buffered part of a body that belongs to no open request."""
         self._body.release()
         self.reader.discard_body()
--- a/gateway/frontend/client_socket.py
+++ b/gateway/frontend/client_socket.py
@@ -1,4 +1,4 @@
-"""The socket of one client."""
+"""The socket of a client connection."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class ClientSocket:
-    """The transport of one client, and events that the system has and the event loop has not reported yet.
+    """The transport of a client connection, which can also poll the socket itself.
 
-    Each method does nothing before the transport is attached and after it is detached.
+    Polling finds unread bytes and a shutdown by the peer before the event loop reports them.  Each method
+    does nothing before the transport is attached and after it is detached.
 
     Attributes:
         transport: The transport; None before the connection is made and after it is lost.
@@ -25,36 +26,36 @@
         self._poll = select.poll()
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Use a transport from now on."""
+        """Set the transport of a new connection."""
         self.transport = transport
         descriptor = transport.get_extra_info("socket").fileno()
         self._poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
 
     def detach(self) -> None:
-        """Forget the transport, whose connection is lost."""
+        """Remove the transport after its connection is lost."""
         self.transport = None
 
     @property
     def is_attached(self) -> bool:
-        """Whether the connection is made and not lost; it may be closing."""
+        """Whether the connection exists; it may be closing."""
         return self.transport is not None
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is made and neither closing nor lost."""
+        """Whether the connection exists and is not closing."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
     def unsent_bytes(self) -> int:
-        """How many written bytes are still in this process."""
+        """The number of written bytes that are not handed to the system yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def has_unread_bytes(self) -> bool:
-        """Return whether bytes of the client wait to be read."""
+        """Return whether the system has received bytes that are not read yet."""
         return self._has_event(select.POLLIN)
 
     def has_peer_closed(self) -> bool:
-        """Return whether the client has ended its sending."""
+        """Return whether the client has shut down its sending side or the whole connection."""
         return self._has_event(select.POLLRDHUP)
 
     def write(self, data: bytes) -> None:
@@ -63,17 +64,17 @@
             self.transport.write(data)
 
     def write_eof(self) -> None:
-        """End sending once all written bytes are sent."""
+        """Shut down the sending side once all written bytes are sent."""
         if self.transport is not None:
             self.transport.write_eof()
 
     def pause_reading(self) -> None:
-        """Read nothing from the client until reading is resumed."""
+        """Stop reading from the client until reading is resumed."""
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read from the client again, unless the connection is closing."""
+        """Resume reading from the client, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
--- a/gateway/frontend/connection_table.py
+++ b/gateway/frontend/connection_table.py
@@ -1,4 +1,4 @@
-"""The connections of clients: their number, the queues in which they wait, and their time limits."""
+"""All client connections: limits their number, tracks their states in queues, enforces their timeouts."""
 
 from __future__ import annotations
 
@@ -14,32 +14,33 @@
 
     from gateway.frontend.client_connection import ClientConnection
 
-READ_TIMEOUT_SECONDS = 2.3  # for a request to be complete, the first one counted from connecting
+READ_TIMEOUT_SECONDS = 2.3  # to receive a complete request; for the first one, counted from the connection
 IDLE_TIMEOUT_SECONDS = 15.0  # between requests, unless the table is crowded
 CROWDED_IDLE_TIMEOUT_SECONDS = 2.0  # between requests, once the table is crowded or full
-EVICTION_GRACE_SECONDS = 0.1  # before a connection with no request yet, or with its last response, is evicted
+EVICTION_GRACE_SECONDS = 0.1  # before a new or half-closed connection is evicted, unless there is no other
 HALF_CLOSED_TIMEOUT_SECONDS = 3.0  # for a client to read the last response on its connection
-TIMEOUT_SWEEP_SECONDS = 0.25  # between checks of these times
-DISCONNECT_POLL_SECONDS = 0.05  # no attempt may start 0.1 s after its client has disconnected
-CROWDED_FRACTION = 0.5  # of the maximum number of connections, from which on the table is crowded
+TIMEOUT_SWEEP_SECONDS = 0.25  # interval of the checks for these timeouts
+DISCONNECT_POLL_SECONDS = 0.05  # no attempt may start later than 0.1 s after its client has disconnected
+CROWDED_FRACTION = 0.5  # share of the maximum number of connections at which the table counts as crowded
 
 
 class ConnectionTable:
-    """All connections of clients.
+    """All client connections.
 
-    A connection that owes no response is in one queue: before its first request is complete, between
-    requests, while one is received, or after the last response.
+    A connection without pending requests is in one of the queues, depending on its state.
 
     Attributes:
-        max_connections: The number of connections beyond which requests are rejected.
-        surplus_connections: Further connections that are kept so that their requests get a response.
-        connections: All connections that are not lost and not evicted.
-        new_connections: Those whose first request is not complete.
-        idle_connections: Those between two requests.
-        receiving: Those of which part of a further request has come.
-        half_closed: Those whose client has ended its sending, or that were sent their last response.
-        write_blocked: Those that are not read, as their clients do not read their responses.
-        is_stopping: Whether each connection is closed behind the responses that it owes.
+        max_connections: Number of connections above which requests are rejected.
+        surplus_connections: Number of connections that are kept open above the maximum, so that their
+            requests get an error response.
+        connections: All connections except those that are lost or evicted.
+        new_connections: Connections whose first request is not complete.
+        idle_connections: Connections between two requests.
+        receiving: Connections on which part of a second or later request has been received.
+        half_closed: Connections whose client has shut down its sending side, or that have sent their last
+            response.
+        write_blocked: Connections that are not read because their clients do not read their responses.
+        is_stopping: Whether connections are closed once they have no pending requests.
     """
 
     def __init__(self, max_connections: int, surplus_connections: int) -> None:
@@ -60,17 +61,17 @@
 
     @property
     def has_too_many_connections(self) -> bool:
-        """Whether there are more connections than requests are accepted on."""
+        """Whether there are so many connections that requests are rejected."""
         return len(self.connections) > self.max_connections
 
     def add(self, client: ClientConnection) -> None:
-        """Count a connection that was made; beyond the maximum, evict one that owes no response."""
+        """Add a new connection; above the maximum, evict a connection without pending requests."""
         self.connections.add(client)
         if not self.has_too_many_connections:
             return
-        # With none to evict the new one is kept within a surplus, and its request rejected: to close it at
-        # once could fail a request.
-        evicted = self.choose_evicted(client)
+        # If there is nothing to evict, the new connection stays open within the surplus and its request gets
+        # an error response.  Closing the connection at once could lose a request without any response.
+        evicted = self.choose_connection_to_evict(client)
         if evicted is None and len(self.connections) > self.max_connections + self.surplus_connections:
             evicted = client
         if evicted is not None:
@@ -78,14 +79,14 @@
             evicted.abort()
 
     def remove(self, client: ClientConnection) -> None:
-        """Forget a connection that is lost."""
+        """Remove a connection that is lost."""
         self.connections.discard(client)
         self.write_blocked.discard(client)
 
-    def choose_evicted(self, newest: ClientConnection) -> ClientConnection | None:
-        """Return the connection to evict for the newest one, or None if each owes a response.
+    def choose_connection_to_evict(self, newest: ClientConnection) -> ClientConnection | None:
+        """Return a connection to evict in favour of the newest one, or None if all have pending requests.
 
-        A connection that was opened or used a moment ago is the last choice: it may be about to send.
+        A connection that was opened or used recently is the last choice, as its client may be about to send.
         """
         now = time.monotonic()
         choices = (
@@ -104,108 +105,108 @@
                 continue
             if not oldest.has_unread_bytes():
                 return oldest
-            oldest.enqueue(queue)  # about to be read
+            oldest.move_to_queue(queue)  # its unread bytes are about to be read as a request
         return None
 
-    # --- clients that do not read ------------------------------------------------------------------
+    # --- clients that do not read their responses --------------------------------------------------
 
     def mark_write_blocked(self, client: ClientConnection) -> None:
-        """Note that a connection is not read, as its client does not read its responses."""
+        """Mark a connection as paused because its client does not read its responses."""
         self.write_blocked.add(client)
 
     def unmark_write_blocked(self, client: ClientConnection) -> None:
-        """Note that a connection is read again."""
+        """Mark a connection as no longer paused."""
         self.write_blocked.discard(client)
 
     def _detect_disconnects(self) -> None:
-        """Find the clients that have disconnected while they are not read.
+        """Handle clients that have disconnected while reading from them is paused.
 
-        The end of their sending is behind bytes that are not read, so that the loop does not report it.
+        The event loop does not report such a disconnect, because it would have to read the bytes before it.
         """
         for client in [blocked for blocked in self.write_blocked if blocked.socket.has_peer_closed()]:
             self.write_blocked.discard(client)
             client.eof_received()
         self._disconnect_timer = self._loop.call_later(DISCONNECT_POLL_SECONDS, self._detect_disconnects)
 
-    # --- time limits -------------------------------------------------------------------------------
+    # --- timeouts ----------------------------------------------------------------------------------
 
     def close_overdue_connections(self) -> None:
-        """Reject requests that are not complete in time; close connections that wait too long."""
+        """Reject requests that are not complete in time, and close connections that are idle for too long."""
         self._reject_overdue_requests()
         self._close_overdue_idle()
         self._timeout_timer = self._loop.call_later(TIMEOUT_SWEEP_SECONDS, self.close_overdue_connections)
 
     def _reject_overdue_requests(self) -> None:
-        """Close connections whose request is not complete in time, with a response if any of it has come."""
-        error = RequestTimeoutError("the request did not come whole")
+        """Close connections whose request is overdue, with an error response if any bytes were received."""
+        error = RequestTimeoutError("the request was not received completely within the time limit")
         for queue in (self.new_connections, self.receiving):
-            for client in _take_overdue(queue, READ_TIMEOUT_SECONDS):
-                # Bytes that came without a request, such as empty lines, are owed a response too.
+            for client in _pop_overdue(queue, READ_TIMEOUT_SECONDS):
+                # Bytes before a request, such as empty lines, get an error response too.
                 if client.reader.is_receiving or client.reader.unparsed_bytes:
                     client.reject(error)
                 else:
                     client.abort()
 
     def _close_overdue_idle(self) -> None:
-        """Close connections that are idle, or do not read their last response.
+        """Close connections that are idle for too long, or whose client does not read its last response.
 
-        A crowded table is cleared before it is full: a burst of new connections must not evict those that
-        are about to be used.
+        The idle timeout gets shorter before the table is full, so that a burst of new connections does not
+        evict connections that are about to be used.
         """
         is_crowded = len(self.connections) >= self.max_connections * CROWDED_FRACTION
         idle_timeout = CROWDED_IDLE_TIMEOUT_SECONDS if is_crowded else IDLE_TIMEOUT_SECONDS
         timeouts = ((self.idle_connections, idle_timeout), (self.half_closed, HALF_CLOSED_TIMEOUT_SECONDS))
         for queue, timeout in timeouts:
-            for client in _take_overdue(queue, timeout):
+            for client in _pop_overdue(queue, timeout):
                 if client.has_unread_bytes():
-                    client.enqueue(self.idle_connections)
+                    client.move_to_queue(self.idle_connections)
                 else:
-                    client.abort()  # a close would wait for a client that never reads its last response
+                    client.abort()  # `close` would wait for a client that never reads its last response
 
     # --- shutdown ----------------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Close the connections that are idle now, and each other one behind the responses that it owes."""
+        """Close idle connections now, and all others once they have no pending requests."""
         self.is_stopping = True
         for client in [*self.idle_connections, *self.new_connections]:
             if not client.reader.is_receiving and not client.has_unread_bytes():
                 client.socket.close()
 
     def has_incoming_requests(self) -> bool:
-        """Return whether part of a request has come, or bytes that are not read yet."""
+        """Return whether any client has sent part of a request, or bytes that are not read yet."""
         queues = (self.receiving, self.new_connections, self.idle_connections)
         return any(
             client.reader.is_receiving or client.has_unread_bytes() for queue in queues for client in queue
         )
 
     def has_unsent_responses(self) -> bool:
-        """Return whether part of a response is still unsent in this process."""
+        """Return whether any response is not handed to the system completely."""
         return any(client.socket.unsent_bytes for client in self.connections)
 
     def reject_incomplete_requests(self) -> None:
-        """Answer requests that are not complete, as the process is about to end.
+        """Send an error response to incomplete requests, because the process is about to exit.
 
-        Clients that have their last response are read until they close: a reset on unread bytes could
-        overtake it.
+        Connections that have sent their last response are still read until their client closes them, as a
+        reset for unread bytes could overtake the response.
         """
-        error = UnavailableError("the front door ends")
+        error = UnavailableError("the gateway is shutting down")
         for client in list(self.connections):
             if client.reader.is_receiving or client.has_unread_bytes():
                 client.reject(error)
-            elif not client.reader.is_closed and not client.pending:
+            elif not client.reader.is_closed and not client.pending_exchanges:
                 client.socket.close()
 
     def close(self) -> None:
-        """Close all connections once what was written to them is sent."""
+        """Close each connection once all bytes written to it are sent."""
         self._timeout_timer.cancel()
         self._disconnect_timer.cancel()
         for client in list(self.connections):
             client.socket.close()
 
 
-def _take_overdue(queue: WaitQueue[ClientConnection], timeout: float) -> Iterator[ClientConnection]:
-    """Take the connections out of a queue that have been in it for longer than a timeout in seconds."""
+def _pop_overdue(queue: WaitQueue[ClientConnection], timeout: float) -> Iterator[ClientConnection]:
+    """Remove and yield the connections that have been in a queue for longer than a timeout in seconds."""
     latest = time.monotonic() - timeout
     while (oldest := queue.oldest) is not None and queue.waiting_since[oldest] < latest:
-        oldest.enqueue(None)
+        oldest.move_to_queue(None)
         yield oldest
--- a/gateway/frontend/errors.py
+++ b/gateway/frontend/errors.py
@@ -1,4 +1,4 @@
-"""Errors for which the gateway itself sends a response: the type gives its status, the text its body."""
+"""Errors that become error responses: the type decides the status, and the message is the body."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class FrontendError(Exception):
-    """Base of the errors for which the gateway itself sends a response.
+    """Base class of the errors that the gateway reports to the client itself.
 
     Attributes:
         status: HTTP status of the response.
-        retry_after: Seconds after which the client may retry; 0 leaves the header out.
+        retry_after: Seconds after which the client may retry; 0 omits the Retry-After header.
     """
 
     status: ClassVar[int]
@@ -18,19 +18,19 @@
 
 
 class BadRequestError(FrontendError):
-    """The request breaks HTTP/1.1, the protocol or the settings."""
+    """The request violates HTTP/1.1, the protocol of the service or the settings."""
 
     status = 400
 
 
 class UnknownRequestClassError(FrontendError):
-    """The path names no request class of the settings."""
+    """The path does not name a request class of the settings."""
 
     status = 404
 
 
 class RequestTimeoutError(FrontendError):
-    """The request was not complete in time."""
+    """The request was not received completely in time."""
 
     status = 408
 
@@ -42,13 +42,13 @@
 
 
 class BodyTooLargeError(FrontendError):
-    """The body exceeds the limit of the protocol."""
+    """The body is larger than the protocol allows."""
 
     status = 413
 
 
 class UnavailableError(FrontendError):
-    """A limit or the end of this process rejects the request, which has not run."""
+    """The request was not executed, because this process is at a limit or shutting down."""
 
     status = 503
     retry_after = 1.0
--- a/gateway/frontend/exchange.py
+++ b/gateway/frontend/exchange.py
@@ -10,27 +10,27 @@
     from gateway.frontend.submitted_request import SubmittedRequest
 
 
-class ExchangeOwner(Protocol):
-    """The connection of an exchange.  The exchange calls this method; the connection calls all others."""
+class ExchangeConnection(Protocol):
+    """The connection on which an exchange takes place, as far as the exchange needs it."""
 
-    def flush(self) -> None:
-        """Write the responses whose turn has come."""
+    def flush_responses(self) -> None:
+        """Write the responses that are next in order."""
 
 
 class Exchange:
-    """One request and its response, which waits for those before it on its connection.
+    """One request and its response, which is sent after all earlier responses on the connection.
 
     Attributes:
-        keep_alive: Whether the connection is kept open after the response.
-        response: The response; None until there is one.
+        keep_alive: Whether the connection stays open after the response.
+        response: The response; None until the request is answered.
     """
 
-    __slots__ = ("_driver", "_open_request", "_owner", "keep_alive", "response")
+    __slots__ = ("_connection", "_driver", "_open_request", "keep_alive", "response")
 
-    def __init__(self, owner: ExchangeOwner, *, keep_alive: bool) -> None:
+    def __init__(self, connection: ExchangeConnection, *, keep_alive: bool) -> None:
         self.keep_alive = keep_alive
         self.response: Response | None = None
-        self._owner = owner
+        self._connection = connection
         self._driver: PolicyDriver | None = None
         self._open_request: OpenRequest | None = None
 
@@ -38,23 +38,23 @@
         """Submit the request to the policy."""
         self._driver = driver
         open_request = driver.submit(request, request.deadline)
-        if self.response is None:  # the policy may have decided at once
+        if self.response is None:  # it is set if the policy has responded within the call
             self._open_request = open_request
 
-    def reply(self, response: Response) -> None:
-        """Set the response, and write it once its turn has come."""
+    def respond(self, response: Response) -> None:
+        """Set the response; it is written once all earlier responses on the connection are."""
         self.response = response
-        # The open request refers to this exchange: without this, only the garbage collector would free both,
-        # and with them the bodies of the request and its response.
+        # The open request refers back to this exchange.  Breaking the cycle frees both, and with them the
+        # bodies of the request and the response, without the garbage collector.
         self._open_request = None
-        self._owner.flush()
+        self._connection.flush_responses()
 
-    def reply_and_close(self, response: Response) -> None:
-        """Set the response, and close the connection behind it."""
+    def respond_and_close_connection(self, response: Response) -> None:
+        """Set the response and close the connection after it."""
         self.keep_alive = False
-        self.reply(response)
+        self.respond(response)
 
     def disconnect(self) -> None:
-        """Tell the policy driver that the client does not wait for the response any more."""
+        """Tell the policy driver that the client has disconnected."""
         if self._driver is not None and self._open_request is not None:
-            self._driver.client_disconnected(self._open_request)
+            self._driver.handle_client_disconnect(self._open_request)
--- a/gateway/frontend/forwarded_request.py
+++ b/gateway/frontend/forwarded_request.py
@@ -1,4 +1,4 @@
-"""The request as it is sent to an endpoint."""
+"""Encodes a client's request for an endpoint."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from gateway.frontend.request_reader import ReceivedRequest
 
-NOT_FORWARDED = frozenset(  # hop-by-hop headers, and those that are written anew
+NOT_FORWARDED = frozenset(  # hop-by-hop headers, and headers that the gateway sets itself or answers
     {
         b"connection",
         b"keep-alive",
@@ -29,7 +29,7 @@
 
 
 class ForwardedRequest:
-    """A client's request without the headers that concern its connection alone."""
+    """A client's request without its hop-by-hop headers, encoded once for all attempts."""
 
     __slots__ = ("_body", "_head")
 
@@ -44,6 +44,6 @@
         self._body = request.body
 
     def encode(self, timeout: float) -> bytes:
-        """Return the bytes to send for an attempt with a timeout in seconds."""
+        """Return the bytes to send for an attempt with this timeout in seconds."""
         milliseconds = max(MIN_TIMEOUT_MILLISECONDS, int(timeout * 1000))
         return b"%sRequest-Timeout: %dm\r\n\r\n%s" % (self._head, milliseconds, self._body)
--- a/gateway/frontend/http_response.py
+++ b/gateway/frontend/http_response.py
@@ -1,4 +1,4 @@
-"""Encoding of the responses to clients."""
+"""Encodes responses to clients."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def encode_response(response: Response, *, close: bool) -> bytes:
-    """Return the bytes of a response; ``close`` announces that it is the last one on its connection."""
+    """Return the bytes of a response; ``close`` adds the header that announces the end of the connection."""
     head = (
         f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\nContent-Length: {len(response.body)}\r\n"
     )
@@ -37,5 +37,5 @@
 
 
 def error_response(error: FrontendError) -> Response:
-    """Return the response to a request that failed here, with the text of the error as its body."""
+    """Return the response for an error, with the error's message as its body."""
     return Response(error.status, f"{error}\n".encode(), retry_after=error.retry_after)
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients, and wires what they share."""
+"""Accepts client connections, and creates the objects that they share."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from gateway.config import Config
     from gateway.driver.policy_driver import PolicyDriver
 
-BACKLOG = 1024  # connections that the system keeps until they are accepted
+BACKLOG = 1024  # connections that the system queues until they are accepted
 
 
 class Listener:
-    """The address on which clients connect.
+    """Listens for client connections.
 
     Attributes:
         address: The address to listen on.
-        connection_table: All connections of clients.
-        budget: Bounds what is held for their requests.
-        socket_server: Accepts connections; None before the start.
+        connection_table: All client connections.
+        budget: Limits the buffered bytes of request bodies, and keeps the ids of open requests.
+        socket_server: Accepts connections; None before `start`.
     """
 
     def __init__(self, config: Config, driver: PolicyDriver) -> None:
@@ -44,7 +44,7 @@
         )
 
     async def start(self) -> None:
-        """Accept connections.
+        """Start to accept connections.
 
         Raises:
             OSError: The address is not available.
@@ -55,19 +55,19 @@
         )
 
     def create_connection(self) -> ClientConnection:
-        """Return the protocol of a new connection, as the event loop asks for it."""
+        """Return the protocol of a new connection; called by the event loop."""
         return ClientConnection(self.connection_table, self._dispatcher)
 
     def is_ready(self) -> bool:
-        """Return whether this process serves, and has an endpoint to send requests to."""
+        """Return whether this process is not shutting down and has at least one endpoint."""
         return not self.connection_table.is_stopping and bool(self._driver.upstream.pools)
 
     def stop_listening(self) -> None:
-        """Accept no connections; close those that are idle, and the others behind their responses."""
+        """Stop accepting connections; close each connection now or after its pending requests."""
         if self.socket_server is not None:
             self.socket_server.close()
         self.connection_table.stop()
 
     def close(self) -> None:
-        """Close all connections once what was written to them is sent."""
+        """Close each connection once all bytes written to it are sent."""
         self.connection_table.close()
--- a/gateway/frontend/request_budget.py
+++ b/gateway/frontend/request_budget.py
@@ -1,4 +1,4 @@
-"""The bounds on what all connections together hold for requests: bytes of bodies, and open request ids."""
+"""Limits the buffered bytes of request bodies of all connections, and keeps the ids of open requests."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class RequestBudget:
-    """Counts what is held for requests and refuses what exceeds a bound.
+    """Limits the buffered bytes of request bodies, and rejects requests whose id is already open.
 
     Attributes:
-        max_buffered_bytes: Bytes of bodies beyond which requests are rejected.
-        buffered_bytes: Bytes of bodies that are held now.
+        max_buffered_bytes: Number of buffered bytes above which requests are rejected.
+        buffered_bytes: Number of bytes of bodies that are buffered now.
         open_request_ids: The Request-Id of each open request.
     """
 
@@ -20,36 +20,36 @@
         self.open_request_ids: set[bytes] = set()
 
     def reserve_bytes(self, size: int) -> None:
-        """Count bytes of a body.
+        """Reserve bytes for a body.
 
         Raises:
-            UnavailableError: Too many bytes are held; these are counted too, until they are released.
+            UnavailableError: The limit is exceeded; these bytes are counted too, until they are released.
         """
         self.buffered_bytes += size
         if self.buffered_bytes > self.max_buffered_bytes:
-            raise UnavailableError("too much is held")
+            raise UnavailableError("too many bytes of request bodies are buffered")
 
     def release_bytes(self, size: int) -> None:
-        """Count bytes of a body that is no longer held."""
+        """Release reserved bytes of a body that is no longer buffered."""
         self.buffered_bytes -= size
 
     def reserve_request_id(self, request_id: bytes) -> None:
-        """Mark a request as open.
+        """Reserve the id of a request.
 
         Raises:
-            DuplicateRequestIdError: A request with this id is open.
+            DuplicateRequestIdError: A request with this id is already open.
         """
         if request_id in self.open_request_ids:
-            raise DuplicateRequestIdError("this Request-Id is open")
+            raise DuplicateRequestIdError("another request with this Request-Id is open")
         self.open_request_ids.add(request_id)
 
     def release_request_id(self, request_id: bytes) -> None:
-        """Mark a request as no longer open."""
+        """Release the id of a request."""
         self.open_request_ids.discard(request_id)
 
 
 class BodyReservation:
-    """The bytes that a connection holds of a body that it receives."""
+    """The bytes that a connection has reserved for the body that it is receiving."""
 
     __slots__ = ("_budget", "_size")
 
@@ -61,13 +61,13 @@
         """Reserve bytes for a further part of the body.
 
         Raises:
-            UnavailableError: Too many bytes are held.
+            UnavailableError: The limit is exceeded; these bytes are reserved all the same.
         """
         self._size += size
         self._budget.reserve_bytes(size)
 
-    def hand_over(self) -> int:
-        """Return the number of reserved bytes, which the caller has to release from now on."""
+    def transfer(self) -> int:
+        """Give up the reservation and return its number of bytes, which the caller now has to release."""
         size = self._size
         self._size = 0
         return size
@@ -75,27 +75,27 @@
     def release(self) -> None:
         """Release all bytes."""
         if self._size:
-            self._budget.release_bytes(self.hand_over())
+            self._budget.release_bytes(self.transfer())
 
 
 class RequestReservation:
-    """What an open request holds: its id, and the bytes of its body, which retries need."""
+    """The reservation of an open request: its id and the bytes of its body, which is kept for retries."""
 
     __slots__ = ("_body_size", "_budget", "_request_id")
 
     def __init__(self, budget: RequestBudget, request_id: bytes, body: BodyReservation) -> None:
-        """Reserve the id, and hold the bytes of the body from now on.
+        """Reserve the id and take over the reserved bytes of the body.
 
         Raises:
-            DuplicateRequestIdError: A request with this id is open; the bytes stay with the body.
+            DuplicateRequestIdError: A request with this id is open; the bytes stay with `body`.
         """
         budget.reserve_request_id(request_id)
         self._budget = budget
         self._request_id = request_id
-        self._body_size = body.hand_over()
+        self._body_size = body.transfer()
 
     def release(self) -> None:
-        """Release the id and the bytes; the driver calls this once."""
+        """Release the id and the bytes.  Called once."""
         if self._body_size:
             self._budget.release_bytes(self._body_size)
         self._budget.release_request_id(self._request_id)
--- a/gateway/frontend/request_dispatcher.py
+++ b/gateway/frontend/request_dispatcher.py
@@ -1,11 +1,11 @@
-"""What happens with a complete request: it is answered at once, or submitted to the policy."""
+"""Dispatches complete requests: responds to them at once or submits them to the policy."""
 
 from __future__ import annotations
 
 import logging
 from typing import TYPE_CHECKING
 
-from gateway.driver.open_request import FAILED, REJECTED, SERVED, Response
+from gateway.driver.open_request import STATUS_FAILED, STATUS_REJECTED, STATUS_SERVED, Response
 from gateway.frontend.errors import FrontendError, UnavailableError
 from gateway.frontend.http_response import error_response
 from gateway.frontend.request_budget import BodyReservation, RequestBudget, RequestReservation
@@ -28,7 +28,7 @@
     """Dispatches the complete requests of all connections.
 
     Attributes:
-        budget: Bounds what is held for requests.
+        budget: Limits the buffered bytes of request bodies, and keeps the ids of open requests.
     """
 
     def __init__(
@@ -39,14 +39,14 @@
         is_ready: Callable[[], bool],
         has_too_many_connections: Callable[[], bool],
     ) -> None:
-        """Wire the dispatcher.
+        """Create the dispatcher.
 
         Args:
-            driver: Gets the requests for the policy.
-            metadata_parser: Reads their headers and targets.
-            budget: Bounds what is held for requests.
-            is_ready: Whether this process is ready to serve; asked by readiness checks.
-            has_too_many_connections: Whether requests are rejected for the number of connections.
+            driver: Delivers the requests to the policy.
+            metadata_parser: Parses the headers and targets of the requests.
+            budget: Limits the buffered bytes of request bodies, and keeps the ids of open requests.
+            is_ready: Returns whether this process is ready to serve; decides the status of readiness checks.
+            has_too_many_connections: Returns whether to reject requests because of too many connections.
         """
         self.budget = budget
         self._driver = driver
@@ -55,26 +55,27 @@
         self._has_too_many_connections = has_too_many_connections
 
     def dispatch(self, exchange: Exchange, request: ReceivedRequest, body: BodyReservation) -> None:
-        """Answer a request, or submit it to the policy; errors end in a response too."""
+        """Respond to a request or submit it to the policy; on an error, send an error response."""
         try:
             self._dispatch(exchange, request, body)
         except FrontendError as error:
-            exchange.reply_and_close(error_response(error))  # the connection's descriptor is of use to others
+            # Closing the connection frees its descriptor for other clients.
+            exchange.respond_and_close_connection(error_response(error))
         except Exception:
             log.exception("a request could not be handled")
             if exchange.response is None:
-                exchange.reply(Response(FAILED))
+                exchange.respond(Response(STATUS_FAILED))
 
     def _dispatch(self, exchange: Exchange, request: ReceivedRequest, body: BodyReservation) -> None:
         if request.target == READY_TARGET:
-            status = SERVED if self._is_ready() else REJECTED
-            exchange.reply(Response(status))
+            status = STATUS_SERVED if self._is_ready() else STATUS_REJECTED
+            exchange.respond(Response(status))
             return
         if self._has_too_many_connections():
             rejection = Response(UnavailableError.status, retry_after=UnavailableError.retry_after)
-            exchange.reply_and_close(rejection)
+            exchange.respond_and_close_connection(rejection)
             return
         metadata = self._metadata_parser.parse(request.method, request.target, request.headers)
         reservation = RequestReservation(self.budget, metadata.request_id, body)
-        submitted_request = SubmittedRequest(request, metadata, reservation, exchange.reply)
+        submitted_request = SubmittedRequest(request, metadata, reservation, exchange.respond)
         exchange.submit(self._driver, submitted_request)
--- a/gateway/frontend/request_headers.py
+++ b/gateway/frontend/request_headers.py
@@ -1,32 +1,32 @@
-"""The names that a request has on the wire, mapped here to the names of the code.
+"""Names of headers, header fields and query parameters of requests on the wire.
 
-Each constant is named as the field of `RequestMetadata` or `CallTerms` that it becomes.  Header names are in
-lower case, as the reader of requests gives them.
+Each constant has the name of the field of `RequestMetadata` or `CallTerms` that is parsed from it.  Header
+names are in lower case, as in `ReceivedRequest`.
 """
 
 from __future__ import annotations
 
 REQUEST_ID = b"request-id"
-REQUEST_CLASS = b"request-class"  # class_index; it repeats the first segment of the path
-PLAN = b"x-tier"  # plan_index
+REQUEST_CLASS = b"request-class"  # has to equal the first segment of the path; see class_index
+PLAN = b"x-tier"  # see plan_index
 TIMEOUT = b"request-timeout"
 IDEMPOTENCY_KEY = b"idempotency-key"
-CALL_TERMS = b"x-call-terms"  # CallTerms, by the keys below
+CALL_TERMS = b"x-call-terms"  # see CallTerms; its keys are below
 IS_RETRY = b"client-retry"
-IS_RETRY_TRUE = b"1"  # the value of a retry
+IS_RETRY_TRUE = b"1"  # value of Client-Retry for a retry
 CONTENT_LENGTH = b"content-length"
 HOST = b"host"
 
-# Keys of X-Call-Terms, each a field of CallTerms.
+# Keys in X-Call-Terms, each for a field of CallTerms.
 UNITS = "units"
 GATEWAY_SET_SIZE = "spread"
 FIRST_GATEWAY = "first"
 
-# Fields of the target's query.
+# Query parameter of the target.
 CUSTOMER = "customer"
 
-# Headers of which a second one could be read differently here and at an endpoint.
-UNIQUE = frozenset(
+# Headers that may occur only once: the gateway and an endpoint could use different values of a repeated one.
+SINGLETON_HEADERS = frozenset(
     {
         REQUEST_ID,
         REQUEST_CLASS,
--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -1,4 +1,4 @@
-"""Reads a request's target and headers, and rejects what the protocol or the settings rule out."""
+"""Parses a request's target and headers, and rejects requests that violate the protocol or the settings."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from gateway.frontend.errors import BadRequestError, UnknownRequestClassError
 from gateway.policy.settings import Effect, RequestClass, Settings
 
-CUSTOMER_ID_LIMIT = 1 << 33  # ids are below it
-MAX_CALL_TERMS_BYTES = 96  # longer ones would also fill the cache
-CALL_TERMS_CACHE_SIZE = 256  # entries; few distinct ones come
+CUSTOMER_ID_LIMIT = 1 << 33  # all customer ids are below it
+MAX_CALL_TERMS_BYTES = 96  # also bounds the size of the entries of the cache
+CALL_TERMS_CACHE_SIZE = 256  # entries; clients send few distinct values
 MAX_QUERY_FIELDS = 32
 MILLISECONDS_PER_SECOND = 1e3
 MICROSECONDS_PER_SECOND = 1e6
 
-TARGET = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
+TARGET = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, control characters or fragment
 TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")  # in milliseconds or microseconds
-CUSTOMER_QUERY = re.compile(rb"customer=([0-9a-fA-F]{16})")  # the usual query, with nothing else in it
+CUSTOMER_QUERY = re.compile(rb"customer=([0-9a-fA-F]{16})")  # the usual query, with this parameter alone
 CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
 REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
 IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
@@ -30,18 +30,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestMetadata:
-    """What a request's target and headers say.
+    """The metadata in a request's target and headers.
 
     Attributes:
         request_id: The client's id for the request.
-        class_index: Index into the classes of the settings.
+        class_index: Index into the request classes of the settings.
         plan_index: Index into the plans of the settings.
         customer: The customer's id.
-        timeout: Seconds that the client waits for the response, at most the deadline of the class.
+        timeout: Seconds that the client waits for the response, at most the deadline of the request class.
         units: Units that the request consumes from the customer's quota.
-        gateway_set_size: Number of gateways that this customer's requests come through.
-        first_gateway: Index of the first of them.
-        is_retry: Whether the client has attempted the request before.
+        gateway_set_size: Number of gateways that receive this customer's requests.
+        first_gateway: Index of the first of these gateways.
+        is_retry: Whether the client has sent the request before.
     """
 
     request_id: bytes
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallTerms:
-    """The fields of X-Call-Terms, as in `RequestMetadata`."""
+    """The fields of X-Call-Terms; `RequestMetadata` describes them."""
 
     units: float
     gateway_set_size: int
@@ -66,7 +66,7 @@
 
 @functools.lru_cache(maxsize=CALL_TERMS_CACHE_SIZE)
 def parse_call_terms(text: bytes) -> CallTerms:
-    """Parse X-Call-Terms.
+    """Parse the value of X-Call-Terms.
 
     Raises:
         BadRequestError: A field is missing, malformed or repeated.
@@ -93,7 +93,7 @@
     """Return Request-Timeout in seconds.
 
     Raises:
-        BadRequestError: The text is not a number of milliseconds or microseconds with its unit.
+        BadRequestError: The text is not a number with the unit `m` (milliseconds) or `u` (microseconds).
     """
     match = TIMEOUT.fullmatch(text)
     if match is None:
@@ -105,13 +105,14 @@
 
 
 def parse_customer(query: bytes) -> int:
-    """Return the customer's id.
+    """Return the customer's id from the query.
 
-    A second one, also one with an escaped name, could be read differently here and at an endpoint.  The usual
-    query does without the general parser, which takes several times as long.
+    A repeated parameter, also one with a percent-encoded name, is rejected because the gateway and an
+    endpoint could use different values.  The usual query is matched by a regular expression, as the general
+    parser takes several times as long.
 
     Raises:
-        BadRequestError: The query is malformed, or does not have exactly one valid id.
+        BadRequestError: The query is malformed, or does not contain exactly one valid id.
     """
     match = CUSTOMER_QUERY.fullmatch(query)
     if match is not None:
@@ -127,10 +128,10 @@
 
 
 def check_customer(customer: int) -> int:
-    """Return a customer's id if it is in the range of ids.
+    """Return a customer's id after checking its range.
 
     Raises:
-        BadRequestError: It is not.
+        BadRequestError: The id is out of range.
     """
     if customer >= CUSTOMER_ID_LIMIT:
         raise BadRequestError("malformed customer")
@@ -141,7 +142,7 @@
     """Return the first segment of the path, which names the request class, and the query.
 
     Raises:
-        BadRequestError: The target is malformed, or has a relative segment.
+        BadRequestError: The target is malformed or has a `.` or `..` segment.
     """
     match = TARGET.fullmatch(target)
     if match is None or has_relative_segment(match[1]):
@@ -152,47 +153,47 @@
 
 
 def has_relative_segment(path: bytes) -> bool:
-    """Return whether a segment of the path is `.` or `..`, which an endpoint may resolve to another path."""
+    """Return whether the path has a `.` or `..` segment, which an endpoint could resolve to another path."""
     return b"/." in path and not {b".", b".."}.isdisjoint(path.split(b"/"))
 
 
 def check_effect(method: bytes, key: bytes, request_class: RequestClass) -> None:
-    """Check that the method and the Idempotency-Key are those of a class with its effect.
+    """Check that the method and the Idempotency-Key match the effect of the request class.
 
     Raises:
-        BadRequestError: They are not, or the key is malformed.
+        BadRequestError: They do not match, or the key is malformed.
     """
     if method == b"GET":
         effect = Effect.IDEMPOTENT
     else:
         effect = Effect.IDEMPOTENT_WITH_KEY if key else Effect.NON_IDEMPOTENT
-    is_of_the_class = method in (b"GET", b"POST") and effect is request_class.effect
+    matches_class = method in (b"GET", b"POST") and effect is request_class.effect
     is_key_malformed = key and not IDEMPOTENCY_KEY.fullmatch(key)
-    if not is_of_the_class or is_key_malformed:
-        raise BadRequestError("the method or Idempotency-Key is not that of the class")
+    if not matches_class or is_key_malformed:
+        raise BadRequestError("the method or Idempotency-Key does not match the request class")
 
 
 def reject_repeated_headers(fields: list[tuple[bytes, bytes]]) -> None:
-    """Check that no header is repeated that could then be read differently here and at an endpoint.
+    """Check that no header occurs twice that may occur only once.
 
     Raises:
-        BadRequestError: One is.
+        BadRequestError: Such a header is repeated.
     """
     seen = set()
     for name, _ in fields:
-        if name in seen and name in headers.UNIQUE:
-            raise BadRequestError("a header stands twice")
+        if name in seen and name in headers.SINGLETON_HEADERS:
+            raise BadRequestError("repeated header that may occur only once")
         seen.add(name)
 
 
 class RequestMetadataParser:
-    """Reads the metadata of requests by the settings of one site.
+    """Parses the metadata of requests and checks it against the settings.
 
     Attributes:
-        max_units: Units that one request may ask for.
+        max_units: Largest number of units that one request may consume.
         gateway_count: Number of gateways of the site.
-        classes: The index of each request class, and the class, by its name.
-        plans: The index of each plan by its name.
+        classes: Index and request class, by the name of the class.
+        plans: Index of the plan, by the name of the plan.
     """
 
     def __init__(self, settings: Settings, max_units: float) -> None:
@@ -205,7 +206,12 @@
         self.plans = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
 
     def parse(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestMetadata:
-        """Return a request's metadata; the names of the header fields are in lower case.
+        """Return a request's metadata.
+
+        Args:
+            method: HTTP method.
+            target: Path and query.
+            fields: Header names, in lower case, and values.
 
         Raises:
             FrontendError: The request is invalid; the first check that fails decides the response.
@@ -215,13 +221,13 @@
             reject_repeated_headers(fields)
         class_name, query = split_target(target)
         if class_name not in self.classes:
-            raise UnknownRequestClassError("no such class")
+            raise UnknownRequestClassError("unknown request class")
         class_index, request_class = self.classes[class_name]
         if values.get(headers.REQUEST_CLASS) != class_name:
-            raise BadRequestError("Request-Class is not the path's")
+            raise BadRequestError("Request-Class does not match the path")
         plan_index = self.plans.get(values.get(headers.PLAN, b""))
         if plan_index is None:
-            raise BadRequestError("no such X-Tier")
+            raise BadRequestError("unknown X-Tier")
         check_effect(method, values.get(headers.IDEMPOTENCY_KEY, b""), request_class)
         request_id = values.get(headers.REQUEST_ID, b"")
         if not REQUEST_ID.fullmatch(request_id):
@@ -234,7 +240,7 @@
             class_index=class_index,
             plan_index=plan_index,
             customer=customer,
-            # A client waits for its attempts no longer than the deadline of the class.
+            # Clients wait for a response no longer than the deadline of the request class.
             timeout=min(request_class.deadline, timeout),
             units=terms.units,
             gateway_set_size=terms.gateway_set_size,
@@ -243,10 +249,10 @@
         )
 
     def check_call_terms(self, text: bytes) -> CallTerms:
-        """Parse X-Call-Terms, and check them against the settings.
+        """Parse the value of X-Call-Terms and check it against the settings.
 
         Raises:
-            BadRequestError: They are malformed or out of range.
+            BadRequestError: The value is malformed or out of range.
         """
         if len(text) > MAX_CALL_TERMS_BYTES:
             raise BadRequestError("malformed X-Call-Terms")
--- a/gateway/frontend/request_reader.py
+++ b/gateway/frontend/request_reader.py
@@ -1,4 +1,4 @@
-"""Parses the bytes of a client's requests: framing, size limits, headers and body; performs no I/O."""
+"""Parses the requests on a connection and enforces size limits; performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 from gateway.frontend import request_headers
 from gateway.frontend.errors import BadRequestError, BodyTooLargeError, FrontendError
 
-MAX_BODY_BYTES = 64 * 1024  # the limit of the protocol
-MAX_HEADER_BYTES = 16 * 1024  # target and headers, with their separators
-HEADER_SEPARATOR_BYTES = 4  # colon, space and line end
+MAX_BODY_BYTES = 64 * 1024  # limit of the protocol
+MAX_HEADER_BYTES = 16 * 1024  # target and headers, including separators
+HEADER_SEPARATOR_BYTES = 4  # colon, space, carriage return and line feed
 EXPECT = b"expect"
 CONTINUE_EXPECTED = b"100-continue"  # the value of Expect
 HEADER_TOO_LARGE = "header too large"
-MAX_UNPARSED_BYTES = 1024  # of no request, such as empty lines
-MAX_DISCARDED_BYTES = 1 << 20  # of a rejected client, after which reading pauses
+MAX_UNPARSED_BYTES = 1024  # bytes before a request, such as empty lines
+MAX_DISCARDED_BYTES = 1 << 20  # bytes from a rejected client after which reading pauses
 
 
 class ReaderState(enum.Enum):
-    """What a reader expects."""
+    """What a reader does with the next bytes."""
 
     BETWEEN_REQUESTS = enum.auto()
-    RECEIVING = enum.auto()  # part of a request was read
+    RECEIVING = enum.auto()  # part of a request was received
     CLOSED = enum.auto()  # further bytes are discarded
 
 
-# Looked up once: access to a member through its class takes a Python call in Python 3.11.
+# Looked up once, because accessing an enum member through its class costs a Python function call in
+# Python 3.11.
 BETWEEN_REQUESTS, RECEIVING, CLOSED = ReaderState
 
 
@@ -41,10 +42,10 @@
     Attributes:
         method: HTTP method.
         target: Path and query.
-        headers: Names, in lower case, and values in their order.
+        headers: Names, in lower case, and values in the order of arrival.
         body: Body without its framing.
-        keep_alive: Whether the client keeps the connection open behind the request.
-        started_at: Monotonic time in seconds at which the first byte was read.
+        keep_alive: Whether the client asks to keep the connection open after the response.
+        started_at: Monotonic time in seconds at which the first byte was received.
     """
 
     method: bytes
@@ -56,32 +57,30 @@
 
 
 class RequestHandler(Protocol):
-    """Receives what the reader finds in the bytes.
-
-    The reader calls all methods, within the call of `RequestReader.feed`.
-    """
+    """Handles the events of a reader, which calls all methods from within `RequestReader.feed`."""
 
     def request_started(self) -> None:
-        """The first byte of a request was read."""
+        """The first byte of a request was received."""
 
     def continue_expected(self) -> None:
-        """The client waits for a 100 response before it sends the body."""
+        """The client waits for a 100 Continue response before it sends the body."""
 
     def body_received(self, size: int) -> None:
-        """Part of a body was read; a `FrontendError` raised here rejects the request."""
+        """Part of a body was received; a `FrontendError` raised here rejects the request."""
 
     def request_received(self, request: ReceivedRequest) -> None:
-        """A request is complete; a `FrontendError` raised here ends the reading."""
+        """A request is complete; a `FrontendError` raised here stops the parsing."""
 
 
 class RequestReader:
-    """Reads the requests on one connection.
+    """Parses the requests on one connection.
 
     The HTTP parser calls the methods named `on_...`; the connection calls the others.
 
     Attributes:
-        state: What the reader expects.
-        unparsed_bytes: How many bytes were read since the last complete request.
+        state: What the reader does with the next bytes.
+        unparsed_bytes: Number of bytes received since the last complete request, or discarded since reading
+            was last paused.
     """
 
     __slots__ = (
@@ -108,7 +107,7 @@
 
     @property
     def is_receiving(self) -> bool:
-        """Whether part of a request was read."""
+        """Whether part of a request was received."""
         return self.state is RECEIVING
 
     @property
@@ -117,7 +116,7 @@
         return self.state is CLOSED
 
     def _start_request(self) -> None:
-        """Reset the fields of the request."""
+        """Reset the state of the current request."""
         self._target = b""
         self._headers: list[tuple[bytes, bytes]] = []
         self._headers_complete = False
@@ -126,33 +125,33 @@
         self._body_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes that were read, and call the handler for what they complete.
+        """Parse received bytes and report the results to the handler.
 
         Raises:
-            FrontendError: The bytes are no valid request, or the handler has rejected it.
+            FrontendError: The bytes are not a valid request, or the handler has rejected the request.
         """
         self.unparsed_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise BadRequestError("no upgrades here") from None
+            raise BadRequestError("protocol upgrades are not supported") from None
         except httptools.HttpParserError as error:
             cause = error.__context__
             if isinstance(cause, FrontendError):
                 raise cause from None
             raise BadRequestError("malformed request") from None
         if self.unparsed_bytes > MAX_UNPARSED_BYTES and self.state is not RECEIVING:
-            raise BadRequestError("no request")
+            raise BadRequestError("too many bytes before a request")
 
     def close(self) -> None:
-        """Discard further bytes."""
+        """Stop parsing; further bytes are discarded."""
         self.state = CLOSED
 
     def discard(self, size: int) -> bool:
-        """Count bytes that are read after `close`.
+        """Count bytes that are received after `close`.
 
         Returns:
-            Whether they exceed the limit, so that reading has to pause; the count then starts anew.
+            Whether the limit is exceeded, so that reading has to pause; the count then restarts at 0.
         """
         self.unparsed_bytes += size
         if self.unparsed_bytes <= MAX_DISCARDED_BYTES:
@@ -161,27 +160,27 @@
         return True
 
     def discard_body(self) -> None:
-        """Free the memory of the part of a body that was read."""
+        """Free the received part of the current body."""
         self._body_parts = []
 
     def on_message_begin(self) -> None:
-        """Start a request, unless the reader was closed within this call of `feed`."""
+        """Start a request; reject it if the handler has closed the reader during this call of `feed`."""
         if self.state is CLOSED:
-            raise BadRequestError("nothing more is read here")
+            raise BadRequestError("no further request is accepted on this connection")
         self._start_request()
         self._started_at = time.monotonic()
         self.state = RECEIVING
         self._handler.request_started()
 
     def on_url(self, target: bytes) -> None:
-        """Add a part of the target."""
+        """Append a part of the target."""
         self._target += target
         self._header_bytes += len(target)
         if self._header_bytes > MAX_HEADER_BYTES:
             raise BadRequestError(HEADER_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header.  Trailers are left out, as one could take the place of a header that is absent."""
+        """Append a header.  Trailers are ignored, as a trailer could replace a header that is missing."""
         self._header_bytes += len(name) + len(value) + HEADER_SEPARATOR_BYTES
         if self._header_bytes > MAX_HEADER_BYTES:
             raise BadRequestError(HEADER_TOO_LARGE)
@@ -189,7 +188,7 @@
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the announced length before any of the body is read."""
+        """Check Content-Length and Expect before the body is received."""
         self._headers_complete = True
         for name, value in self._headers:
             if name == request_headers.CONTENT_LENGTH and int(value) > MAX_BODY_BYTES:
@@ -198,7 +197,7 @@
                 self._handler.continue_expected()
 
     def on_body(self, data: bytes) -> None:
-        """Add a part of the body, up to the limit of its size."""
+        """Append a part of the body, up to the size limit."""
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
             raise BodyTooLargeError("body too large")
--- a/gateway/frontend/submitted_request.py
+++ b/gateway/frontend/submitted_request.py
@@ -1,4 +1,4 @@
-"""A request of a client as the policy driver sees it."""
+"""A client's request as it is submitted to the policy driver."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 
 class SubmittedRequest:
-    """The ``RequestOwner`` of a client's request.
+    """Implements the driver's ``ClientRequest`` for a request that was received over HTTP.
 
     Attributes:
         deadline: Monotonic time in seconds at which the client stops waiting.
     """
 
-    __slots__ = ("_forwarded_request", "_is_write", "_metadata", "_reply", "_reservation", "deadline")
+    __slots__ = ("_forwarded_request", "_is_write", "_metadata", "_reservation", "_send_response", "deadline")
 
     def __init__(
         self,
         request: ReceivedRequest,
         metadata: RequestMetadata,
         reservation: RequestReservation,
-        reply: Callable[[Response], None],
+        send_response: Callable[[Response], None],
     ) -> None:
         self.deadline = request.started_at + metadata.timeout
         self._forwarded_request = ForwardedRequest(request)
         self._is_write = request.method == b"POST"
         self._metadata = metadata
         self._reservation = reservation
-        self._reply = reply
+        self._send_response = send_response
 
     def build_event(self, request_id: int) -> Request:
-        """Return the policy's event for the request."""
+        """Return the event for the policy."""
         metadata = self._metadata
         return Request(
             request_id=request_id,
@@ -57,13 +57,13 @@
         )
 
     def encode_for_endpoint(self, timeout: float) -> bytes:
-        """Return the bytes to send to an endpoint, given the attempt's timeout in seconds."""
+        """Return the bytes to send to an endpoint for an attempt with this timeout in seconds."""
         return self._forwarded_request.encode(timeout)
 
-    def reply(self, response: Response) -> None:
-        """Send the response when its turn has come."""
-        self._reply(response)
+    def respond(self, response: Response) -> None:
+        """Send the response once all earlier responses on the connection are sent."""
+        self._send_response(response)
 
     def release(self) -> None:
-        """Free what is held for the request, which is closed and has no attempt in flight."""
+        """Release the request's id and the bytes of its body; no attempt needs them any more."""
         self._reservation.release()
--- a/gateway/frontend/wait_queue.py
+++ b/gateway/frontend/wait_queue.py
@@ -1,4 +1,4 @@
-"""A queue of what waits, with the time since when."""
+"""A queue that records when each of its entries was added."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class WaitQueue(Generic[WaiterT]):
-    """Waiters in the order in which they began to wait.
+    """Waiters in the order in which they were added.
 
     Attributes:
-        waiting_since: Monotonic time in seconds at which each waiter began to wait, the longest wait first.
+        waiting_since: Monotonic time in seconds at which each waiter was added, the oldest first.
     """
 
     __slots__ = ("waiting_since",)
@@ -32,11 +32,11 @@
 
     @property
     def oldest(self) -> WaiterT | None:
-        """The waiter that has waited longest; None if none waits."""
+        """The waiter that has been in the queue for longest; None if the queue is empty."""
         return next(iter(self.waiting_since), None)
 
     def add(self, waiter: WaiterT) -> None:
-        """Add a waiter that begins to wait now."""
+        """Add a waiter at the end."""
         self.waiting_since[waiter] = time.monotonic()
 
     def discard(self, waiter: WaiterT) -> None:
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -69,13 +69,13 @@
         pytest.param(b"x-call-terms", b"units=1,spread=4,first=0", "X-Call-Terms out of range", id="spread"),
         pytest.param(b"x-call-terms", b"units=1", "malformed X-Call-Terms", id="missing terms"),
         pytest.param(b"request-timeout", b"4", "malformed Request-Timeout", id="timeout"),
-        pytest.param(b"request-class", b"class-1", "Request-Class is not the path's", id="class"),
-        pytest.param(b"x-tier", b"gold", "no such X-Tier", id="plan"),
+        pytest.param(b"request-class", b"class-1", "Request-Class does not match the path", id="class"),
+        pytest.param(b"x-tier", b"gold", "unknown X-Tier", id="plan"),
         pytest.param(b"request-id", b"", "malformed Request-Id", id="request id"),
         pytest.param(
             b"idempotency-key",
             b"not a key",
-            "the method or Idempotency-Key is not that of the class",
+            "the method or Idempotency-Key does not match the request class",
             id="idempotency key",
         ),
     ],
@@ -115,7 +115,10 @@
             b"/class-0?customer=0000000000000005#", BadRequestError, "malformed target", id="fragment"
         ),
         pytest.param(
-            b"/class-9?customer=0000000000000005", UnknownRequestClassError, "no such class", id="class"
+            b"/class-9?customer=0000000000000005",
+            UnknownRequestClassError,
+            "unknown request class",
+            id="class",
         ),
     ],
 )
@@ -130,7 +133,7 @@
 def test_a_repeated_header_that_counts_is_rejected(parser: RequestMetadataParser) -> None:
     with pytest.raises(BadRequestError) as error:
         parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"x-tier", b"plan-0")])
-    assert str(error.value) == "a header stands twice"
+    assert str(error.value) == "repeated header that may occur only once"
 
 
 # Guards the policy and customers' quotas against terms that the protocol or the settings do not allow; the
--- a/tests/frontend/test_request_reader.py
+++ b/tests/frontend/test_request_reader.py
@@ -123,12 +123,12 @@
     ("data", "kind", "text"),
     [
         pytest.param(b"nonsense\r\n\r\n", BadRequestError, "malformed request", id="noise"),
-        pytest.param(UPGRADE, BadRequestError, "no upgrades here", id="upgrade"),
+        pytest.param(UPGRADE, BadRequestError, "protocol upgrades are not supported", id="upgrade"),
         pytest.param(LONG_TARGET, BadRequestError, "header too large", id="target"),
         pytest.param(LONG_HEADER, BadRequestError, "header too large", id="header"),
         pytest.param(LONG_BODY, BodyTooLargeError, "body too large", id="announced body"),
         pytest.param(LONG_CHUNKED_BODY, BodyTooLargeError, "body too large", id="chunked body"),
-        pytest.param(EMPTY_LINES, BadRequestError, "no request", id="empty lines"),
+        pytest.param(EMPTY_LINES, BadRequestError, "too many bytes before a request", id="empty lines"),
     ],
 )
 def test_what_is_no_valid_request_is_an_error(
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -43,7 +43,7 @@
         gateway.client.writer.write(gateway.client.encode_request())
 
         def was_served(seen_before: int = seen_before) -> bool:
-            return len(endpoint.seen) > seen_before and not connection.pending
+            return len(endpoint.seen) > seen_before and not connection.pending_exchanges
 
         await until(was_served)
     return UnreadConnection(connection, request_count)
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -49,7 +49,7 @@
 
 
 def close_for_a_new_one(listener: Listener, idle: ClientConnection) -> None:
-    assert listener.connection_table.choose_evicted(listener.create_connection()) is not idle
+    assert listener.connection_table.choose_connection_to_evict(listener.create_connection()) is not idle
 
 
 # Guards against closing a connection as idle when a request has come that was not read yet.
