--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the process: requests through it, its start, reload and shutdown, and its configuration."""
+"""Tests of the whole process: requests, start, reload, shutdown and configuration."""
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of the process share."""
+"""Fixtures of the tests of the process."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 
 @pytest.fixture
 def config_path(tmp_path: Path) -> Path:
-    """Return the path of the program's configuration, which the test has to write."""
+    """Return the path of the program's configuration file, which the test has to write."""
     return tmp_path / "config.json"
--- a/tests/process/gated_loop.py
+++ b/tests/process/gated_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that holds outgoing connections back until a test lets them open."""
+"""An event loop that delays outgoing connections until a test permits them."""
 
 from __future__ import annotations
 
@@ -13,40 +13,41 @@
 
 
 class GatedLoop:
-    """An event loop on which outgoing connections open only once `open` is set.
+    """An event loop that opens outgoing connections only once they are permitted.
 
     Attributes:
-        connects: How many connections were asked for.
-        open: Lets all connections open.
-        open_for: A port to which connections open at once.
-        has_small_buffers: Whether the sockets take few bytes at a time.
+        loop: The event loop that opens the connections.
+        connect_count: Number of connections that were requested so far.
+        all_permitted: Set by the test to permit all connections.
+        permitted_port: Connections to this port are not delayed; 0 for none.
+        has_small_buffers: Whether the connections get small send buffers.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.connects = 0
-        self.open = asyncio.Event()
-        self.open_for = 0
+        self.connect_count = 0
+        self.all_permitted = asyncio.Event()
+        self.permitted_port = 0
         self.has_small_buffers = False
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
     async def create_connection(self, protocol: Any, host: str, port: int) -> Any:
-        self.connects += 1
-        if port != self.open_for:
-            await self.open.wait()
+        self.connect_count += 1
+        if port != self.permitted_port:
+            await self.all_permitted.wait()
         if not self.has_small_buffers:
             return await self.loop.create_connection(protocol, host, port)
-        narrow = socket.socket()
-        narrow.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
-        narrow.settimeout(0.0)
-        await self.loop.sock_connect(narrow, (host, port))
-        return await self.loop.create_connection(protocol, sock=narrow)
+        client = socket.socket()
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+        client.settimeout(0.0)
+        await self.loop.sock_connect(client, (host, port))
+        return await self.loop.create_connection(protocol, sock=client)
 
 
 def gate_connections(gateway: GatewayProcess) -> GatedLoop:
-    """Replace the loop on which the gateway connects to endpoints by a gated one."""
+    """Replace the event loop on which the gateway connects to endpoints with a gated loop."""
     gated_loop = GatedLoop(gateway.driver.upstream.loop)
     gateway.driver.upstream.loop = gated_loop  # type: ignore[assignment]
     return gated_loop
--- a/tests/process/program.py
+++ b/tests/process/program.py
@@ -1,4 +1,4 @@
-"""The gateway program as a process of its own, for tests of its start, signals and descriptors."""
+"""Runs the gateway program as a separate process, for tests of its start, signals and descriptors."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class RunningProgram(NamedTuple):
-    """The program's process, and the port on which it listens."""
+    """The program's process and the port on which it listens."""
 
     process: asyncio.subprocess.Process
     port: int
 
 
 def free_port() -> int:
-    """Return a port on which nothing listens."""
+    """Return a free port."""
     with socket.socket() as probe:
         probe.bind((LOOPBACK, 0))
         port: int = probe.getsockname()[1]
@@ -37,11 +37,11 @@
 
 @contextlib.asynccontextmanager
 async def running_program(config_path: Path, max_sockets: int | None = None) -> AsyncIterator[RunningProgram]:
-    """Run the program; it listens once this returns.
+    """Run the program, which listens by the time this yields unless it has exited.
 
     Args:
-        config_path: The configuration.
-        max_sockets: The limit on its descriptors; None for the limit of the test itself.
+        config_path: The configuration file.
+        max_sockets: Limit of the system on the program's descriptors; None for the limit of the test process.
     """
     port = free_port()
     env = dict(os.environ) | {"NODE_CONFIG": str(config_path), "NODE_LISTEN": f"{LOOPBACK}:{port}"}
@@ -60,7 +60,7 @@
 
 
 async def _wait_until_listening(process: asyncio.subprocess.Process, port: int) -> None:
-    """Wait until the program listens or has ended."""
+    """Wait until the program listens or has exited."""
     while process.returncode is None:
         try:
             _, writer = await asyncio.open_connection(LOOPBACK, port)
@@ -72,7 +72,7 @@
 
 
 async def readiness_status(port: int) -> int:
-    """Return the status of the program's readiness check."""
+    """Return the HTTP status of the program's readiness check."""
     reader, writer = await asyncio.open_connection(LOOPBACK, port)
     writer.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     status = (await read_message(reader)).status
--- a/tests/process/raw_client.py
+++ b/tests/process/raw_client.py
@@ -1,4 +1,4 @@
-"""A client on a plain socket, and the bytes that it sends."""
+"""A client that uses a plain socket, so that a test controls each read and write."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 
 @contextlib.contextmanager
-def connected(gateway: GatewayProcess) -> Iterator[socket.socket]:
-    """Connect a client's socket, which acts between two steps of the event loop."""
+def connected_socket(gateway: GatewayProcess) -> Iterator[socket.socket]:
+    """Connect a non-blocking socket, on which a test can act without giving the event loop a turn."""
     assert gateway.listener.socket_server is not None
     address = gateway.listener.socket_server.sockets[0].getsockname()
     with socket.create_connection(address) as client:
@@ -38,7 +38,7 @@
 
 
 async def read_some(client: socket.socket) -> bytes:
-    """Read the bytes that come next; none once the connection is closed."""
+    """Read the next available bytes; returns none once the connection is closed."""
     return await asyncio.get_running_loop().sock_recv(client, READ_BYTES)
 
 
@@ -50,10 +50,10 @@
     return data
 
 
-async def read_until(client: socket.socket, end: bytes) -> bytes:
-    """Read until the bytes contain an end."""
+async def read_until(client: socket.socket, expected: bytes) -> bytes:
+    """Read until the received bytes contain the expected ones."""
     data = b""
-    while end not in data:
+    while expected not in data:
         part = await read_some(client)
         assert part, "closed without a response"
         data += part
@@ -65,21 +65,23 @@
     await asyncio.get_running_loop().sock_sendall(client, data)
 
 
-async def send_four_requests(gateway: GatewayProcess, client: socket.socket, high: int | None = None) -> None:
-    """Send four requests at once, on a connection whose socket buffers hold few bytes of the responses.
+async def send_four_requests(
+    gateway: GatewayProcess, client: socket.socket, high_water_bytes: int | None = None
+) -> None:
+    """Send four pipelined requests, on a connection with small socket buffers for the responses.
 
     Args:
-        gateway: Serves the client's connection, and no other one.
+        gateway: The gateway; this is its only client connection.
         client: The client's socket.
-        high: High-water mark in bytes of what the gateway writes; None for the default.
+        high_water_bytes: High-water mark of the gateway's write buffer; None for the default.
     """
     connections = gateway.listener.connection_table.connections
     await until(lambda: connections)
-    (served,) = connections
-    transport = served.socket.transport
+    (connection,) = connections
+    transport = connection.socket.transport
     assert transport is not None
-    served_socket = transport.get_extra_info("socket")
-    served_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+    gateway_socket = transport.get_extra_info("socket")
+    gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
-    transport.set_write_buffer_limits(high)
+    transport.set_write_buffer_limits(high_water_bytes)
     await send(client, b"".join(raw_request(b"%d" % number) for number in range(4)))
--- a/tests/process/services.py
+++ b/tests/process/services.py
@@ -1,4 +1,4 @@
-"""The services around a program under test: endpoints, agents and counters, and its configuration."""
+"""The services that a program under test uses (endpoints, agents, counters), and its configuration."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class Services(contextlib.AsyncExitStack):
-    """Servers that run until the stack is closed."""
+    """Fake servers that run until the stack is closed."""
 
     async def start_servers(self, servers: Sequence[FakeServer | Handler]) -> list[str]:
         """Start servers and return their addresses."""
         return [await server_address(self, server) for server in servers]
 
     async def start_endpoints(self, endpoints: Sequence[FakeServer | Handler]) -> list[dict[str, Any]]:
-        """Start endpoints and return them as an agent lists them."""
+        """Start endpoints and return them as a discovery agent lists them."""
         addresses = await self.start_servers(endpoints)
         return [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
 
 
 def unreachable_host() -> dict[str, Any]:
-    """Return an endpoint that cannot be reached, as an agent lists it."""
+    """Return an endpoint that cannot be reached, as a discovery agent lists it."""
     return host_line("s-00000001", UNREACHABLE)
 
 
 def publish_snapshot(agent: FakeDiscoveryAgent, version: int, hosts: list[dict[str, Any]]) -> None:
-    """Let an agent answer with a snapshot from now on."""
+    """Set the snapshot of the endpoint list with which an agent answers."""
     agent.whole = json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
 
 
@@ -45,14 +45,14 @@
     discovery: str = "",
     max_sockets: int | None = None,
 ) -> None:
-    """Write the configuration of a program.
+    """Write the configuration file of a program.
 
     Args:
         path: The file.
-        hosts: The cached endpoints, as an agent lists them.
-        counter: Address of the counter; without one there is none.
-        discovery: Address of the discovery agent.
-        max_sockets: The limit on sockets; None for the usual one.
+        hosts: The cached endpoints, as a discovery agent lists them.
+        counter: Address of the counter; empty for a gateway without a counter.
+        discovery: Address of the discovery agent; empty for an agent that cannot be reached.
+        max_sockets: Value of `limits.sockets`; None for the default of `config_text`.
     """
     config = json.loads(config_text(hosts, counter, discovery))
     if max_sockets is not None:
@@ -61,5 +61,5 @@
 
 
 def write_malformed_config(path: Path) -> None:
-    """Write a configuration that cannot be read."""
+    """Write a configuration file that is not valid JSON."""
     path.write_text("{")
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -11,7 +11,7 @@
 from gateway.policy.events import ClientDisconnected, Request
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint, keep_silent, respond_with
-from tests.support.gateway import UNREACHABLE, GatewaySetUp, gateway_with_client, running_gateway
+from tests.support.gateway import UNREACHABLE, GatewayWithClient, gateway_with_client, running_gateway
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import read_message
 from tests.support.scripted_policy import do_nothing, forward_to_first
@@ -30,7 +30,7 @@
     request_count: int
 
 
-async def request_until_not_read(gateway: GatewaySetUp, endpoint: FakeEndpoint) -> UnreadConnection:
+async def request_until_not_read(gateway: GatewayWithClient, endpoint: FakeEndpoint) -> UnreadConnection:
     """Send requests without reading responses until the sockets' buffers are full of responses."""
     (connection,) = gateway.process.listener.connection_table.connections
     transport = connection.socket.transport
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gateway.policy.events import ClientDisconnected
-from tests.process.raw_client import connected, raw_request, send_four_requests
+from tests.process.raw_client import connected_socket, raw_request, send_four_requests
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint, respond_with
 from tests.support.gateway import UNREACHABLE, running_gateway
@@ -41,7 +41,7 @@
 async def test_the_disconnect_of_a_write_blocked_client_is_detected() -> None:
     endpoint = FakeEndpoint(respond_with(LARGE_BODY))
     async with running_gateway(endpoint, react=hold_fourth_request) as (gateway, policy):
-        with connected(gateway) as client:
+        with connected_socket(gateway) as client:
             await send_four_requests(gateway, client)
             await until(lambda: owes_the_last_response(gateway))
         await until(lambda: policy.events_of_type(ClientDisconnected))
@@ -58,7 +58,7 @@
 async def test_a_client_that_half_closes_while_responses_wait_has_disconnected(high: int | None) -> None:
     endpoint = FakeEndpoint(respond_with(LARGE_BODY))
     async with running_gateway(endpoint, react=hold_fourth_request) as (gateway, policy):
-        with connected(gateway) as client:
+        with connected_socket(gateway) as client:
             await send_four_requests(gateway, client, high)
             await until(lambda: owes_the_last_response(gateway))
             client.shutdown(socket.SHUT_WR)
@@ -76,7 +76,7 @@
 async def test_no_attempt_is_started_for_a_client_that_disconnected_before_it_was_read(count: int) -> None:
     async with running_gateway(UNREACHABLE, react=forward_to_first) as (gateway, policy):
         connections = gateway.listener.connection_table.connections
-        with connected(gateway) as client:
+        with connected_socket(gateway) as client:
             await until(lambda: connections)
             for number in range(count):  # no step of the loop lies between these and the close
                 assert client.send(raw_request(b"%d" % number))
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -115,4 +115,4 @@
         assert probed.endpoint_id == FIRST_ENDPOINT
         assert probed.outcome == Outcome.OK
         assert probed.load_report == (9.0, 0.5, 1.0)
-        assert endpoint.seen[0].start == "GET /-/load HTTP/1.1"
+        assert endpoint.seen[0].start_line == "GET /-/load HTTP/1.1"
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -34,7 +34,7 @@
         assert response.status == 200
         assert response.body == b"got a recording"
         (forwarded,) = endpoint.seen
-        assert forwarded.start == "POST /class-1?customer=0000000000000005 HTTP/1.1"
+        assert forwarded.start_line == "POST /class-1?customer=0000000000000005 HTTP/1.1"
         assert forwarded.headers["request-id"] == "9b1f03aa5c7e2d41"
         assert forwarded.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
         assert forwarded.body == b"a recording"
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.process.raw_client import (
-    connected,
+    connected_socket,
     raw_request,
     read_all,
     read_some,
@@ -67,7 +67,7 @@
 ) -> None:
     async with running_gateway(FakeEndpoint(), react=forward_to_first) as (gateway, _):
         idle_connections = gateway.listener.connection_table.idle_connections
-        with connected(gateway) as client:
+        with connected_socket(gateway) as client:
             await send(client, FIRST_REQUEST)
             assert OK_STATUS in await read_some(client)
             await until(lambda: idle_connections)
@@ -94,7 +94,7 @@
     """Begin the shutdown of a gateway that has read half a request."""
     async with running_gateway(FakeEndpoint(), react=forward_to_first) as (gateway, _):
         table = gateway.listener.connection_table
-        with connected(gateway) as client:
+        with connected_socket(gateway) as client:
             await send(client, FIRST_REQUEST.removesuffix(b"\r\n\r\n"))
             await until(lambda: has_part_of_a_request(table))
             gateway.drain_timeout = drain_seconds
@@ -151,7 +151,7 @@
     body = b"x" * 60_000
     async with running_gateway(FakeEndpoint(respond_with(body)), react=forward_to_first) as (gateway, _):
         gateway.drain_timeout = AMPLE_DRAIN_SECONDS
-        with connected(gateway) as client:
+        with connected_socket(gateway) as client:
             await send_four_requests(gateway, client)
             await wait_for_unsent_responses(gateway)
             drained = asyncio.create_task(gateway.drain())
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -61,9 +61,9 @@
         """The driver of the policy."""
         return self.process.driver
 
-    def open_at_once(self, endpoint_id: int) -> None:
+    def permit_connections_to(self, endpoint_id: int) -> None:
         """Let the connections to one endpoint open."""
-        self.loop.open_for = self.driver.upstream.pools[endpoint_id].address.port
+        self.loop.permitted_port = self.driver.upstream.pools[endpoint_id].address.port
 
 
 @contextlib.asynccontextmanager
@@ -129,11 +129,11 @@
         HttpClient(gateway.process.listener) as client,
     ):
         waiting = asyncio.create_task(client.send_request(NON_IDEMPOTENT_CLASS))
-        await until(lambda: gateway.loop.connects == 1)
+        await until(lambda: gateway.loop.connect_count == 1)
         pools = gateway.driver.upstream.pools
         addresses = {record.endpoint_id: pools[record.endpoint_id].address for record in update.records}
         gateway.driver.apply_endpoint_update(update, addresses)
-        gateway.loop.open.set()
+        gateway.loop.all_permitted.set()
         assert (await waiting).body == b"other"
         # The policy is told the reason first, or it could choose the same endpoint again.
         kinds = [type(event) for event in gateway.policy.events]
@@ -149,12 +149,12 @@
     silent = FakeEndpoint(keep_silent)
     second = FakeEndpoint()
     async with gated_gateway(silent, second, react=hedge_on_second_endpoint) as gateway:
-        gateway.open_at_once(FIRST_ENDPOINT)
+        gateway.permit_connections_to(FIRST_ENDPOINT)
         async with HttpClient(gateway.process.listener) as client:
             client.writer.write(client.encode_request())
-            await until(lambda: silent.seen and gateway.loop.connects == 2)
+            await until(lambda: silent.seen and gateway.loop.connect_count == 2)
         await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
-        gateway.loop.open.set()
+        gateway.loop.all_permitted.set()
         await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT].idle)
         assert not second.seen
 
@@ -167,11 +167,11 @@
         listener = gateway.process.listener
         async with HttpClient(listener) as client:
             client.writer.write(client.encode_request(NON_IDEMPOTENT_CLASS))
-            await until(lambda: gateway.loop.connects == 1)
+            await until(lambda: gateway.loop.connect_count == 1)
         await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
         assert not gateway.driver.open_requests
         assert not listener.budget.open_request_ids
-        gateway.loop.open.set()
+        gateway.loop.all_permitted.set()
         await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle)  # opened anyway, it is pooled
         async with HttpClient(listener) as client:
             assert (await client.send_request(Request_Id="second")).status == 200
@@ -211,11 +211,11 @@
         gated_gateway(FakeEndpoint(), second, react=react) as gateway,
         HttpClient(gateway.process.listener) as client,
     ):
-        gateway.open_at_once(FIRST_ENDPOINT)
+        gateway.permit_connections_to(FIRST_ENDPOINT)
         assert (await client.send_request(Request_Id="once")).status == status
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not gateway.driver.open_requests)
-        gateway.loop.open.set()
+        gateway.loop.all_permitted.set()
         await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT].idle)
         assert "once" not in request_ids(second.seen)
 
@@ -262,7 +262,7 @@
         async with gated_gateway(address, react=forward_to_first) as gateway:
             pool = gateway.driver.upstream.pools[FIRST_ENDPOINT]
             gateway.loop.has_small_buffers = True
-            gateway.loop.open.set()
+            gateway.loop.all_permitted.set()
             async with HttpClient(gateway.process.listener) as client:
                 client.writer.write(client.encode_request(NON_IDEMPOTENT_CLASS, body=LARGE_BODY))
                 await until(lambda: any(connection.has_unsent_bytes for connection in pool.connections))
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -1,4 +1,4 @@
-"""Tests as coroutines on the event loop that serves."""
+"""Runs coroutines as tests on uvloop, the event loop of the gateway."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def run(test: Awaitable[None]) -> None:
-    """Run one test on the loop that serves, bounded in time."""
+    """Run a test on the gateway's event loop, with a time limit."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(MAX_TEST_SECONDS):
             await test
 
-    uvloop.run(bounded())
+    uvloop.run(run_with_timeout())
 
 
 def async_test(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
-    """Make a test of a coroutine; it runs on the event loop that serves, bounded in time."""
+    """Turn a coroutine function into a test that runs on the gateway's event loop, with a time limit."""
 
     @functools.wraps(test)
     def run_on_loop(*args: P.args, **kwargs: P.kwargs) -> None:
@@ -38,6 +38,6 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for a condition; the test's own time limit ends the wait for one that never holds."""
-    while not condition():  # noqa: ASYNC110  # what is waited for has no event of its own
+    """Wait until a condition holds; if it never does, the test's time limit ends the wait."""
+    while not condition():  # noqa: ASYNC110  # the condition has no event to wait for
         await asyncio.sleep(POLL_SECONDS)
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway process inside a test, between fakes and a client."""
+"""Runs a gateway within the process of a test, between fake services and a client."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     from collections.abc import AsyncIterator
 
 UNREACHABLE = "127.0.0.1:1"  # nothing listens on this port
-LIST_SETTINGS = ("zones", "columns")
+LIST_SETTINGS = ("zones", "columns")  # last parts of the paths of settings that are lists
 
 
-def nest(flat: dict[str, str]) -> dict[str, Any]:
-    """Return flat settings as a gateway finds them in its configuration: nested, with typed values."""
+def nest_settings(flat: dict[str, str]) -> dict[str, Any]:
+    """Return settings, given by their dotted paths, as the nested object that a configuration contains."""
     root: dict[str, Any] = {}
     for path, value in flat.items():
         section = root
@@ -37,13 +37,15 @@
     return root
 
 
-def config_text(known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str) -> str:
+def config_text(
+    cached_endpoints: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str
+) -> str:
     """Return a configuration as JSON.
 
     Args:
-        known: The cached endpoints, as an agent lists them.
-        counter: Address of the counter; without one there is none.
-        discovery: Address of the discovery agent.
+        cached_endpoints: The cached endpoints, as a discovery agent lists them.
+        counter: Address of the counter; empty for a gateway without a counter.
+        discovery: Address of the discovery agent; empty for an agent that cannot be reached.
         changes: Changed settings (dots written as double underscores).
     """
     settings = BASE | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
@@ -58,28 +60,28 @@
             "seed": "8c1f",
             "counter": counter,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"seq": 41, "whole": True, "hosts": known},
-            "settings": nest(settings) | {"host_types": ["m2"]},
+            "known": {"seq": 41, "whole": True, "hosts": cached_endpoints},
+            "settings": nest_settings(settings) | {"host_types": ["m2"]},
         }
     )
 
 
 def config_without(key: str) -> str:
-    """Return a configuration that lacks a key."""
+    """Return a configuration as JSON that lacks a key."""
     raw: dict[str, Any] = json.loads(config_text([]))
     del raw[key]
     return json.dumps(raw)
 
 
 def make_config(
-    known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str
+    cached_endpoints: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str
 ) -> Config:
-    """Return a configuration; the arguments are those of `config_text`."""
-    return parse_config(config_text(known, counter, discovery, **changes), {})
+    """Return a parsed configuration; the arguments are those of `config_text`."""
+    return parse_config(config_text(cached_endpoints, counter, discovery, **changes), {})
 
 
 class RunningGateway(NamedTuple):
-    """A running gateway, and the scripted policy in it."""
+    """A running gateway and its scripted policy."""
 
     process: GatewayProcess
     policy: ScriptedPolicy
@@ -92,19 +94,21 @@
     counter: FakeServer | Handler | str = "",
     **changes: str,
 ) -> AsyncIterator[RunningGateway]:
-    """Run a gateway without discovery.
+    """Run a gateway that cannot reach discovery and uses its cached endpoint list.
 
     Args:
-        endpoints: Its endpoints, each a fake, a connection handler or an address.
-        react: The script of the policy; with None the gateway has its own policy.
-        counter: The counter, given like an endpoint; empty for none.
+        endpoints: The endpoints, each a fake server, a connection handler or an address.
+        react: The script of the policy; with None the gateway uses the real policy.
+        counter: The counter, in the same form as an endpoint; empty for a gateway without a counter.
         changes: Changed settings (dots written as double underscores).
     """
     async with contextlib.AsyncExitStack() as stack:
         addresses = [await server_address(stack, endpoint) for endpoint in endpoints]
-        known = [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
+        cached_endpoints = [
+            host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)
+        ]
         counter_address = await server_address(stack, counter)
-        process = GatewayProcess(make_config(known, counter_address, **changes))
+        process = GatewayProcess(make_config(cached_endpoints, counter_address, **changes))
         process.endpoint_list_timeout = 0.0
         script = ScriptedPolicy(react or do_nothing)
         if react is not None:
@@ -115,8 +119,8 @@
 
 
 @dataclass(frozen=True)
-class GatewaySetUp:
-    """A running gateway, the scripted policy in it, and a connected client."""
+class GatewayWithClient:
+    """A running gateway, its scripted policy and a connected client."""
 
     process: GatewayProcess
     policy: ScriptedPolicy
@@ -126,10 +130,10 @@
 @contextlib.asynccontextmanager
 async def gateway_with_client(
     *endpoints: FakeServer | Handler | str, react: Reaction | None = forward_to_first, **changes: str
-) -> AsyncIterator[GatewaySetUp]:
-    """Run a gateway with a client; the arguments are those of `running_gateway`."""
+) -> AsyncIterator[GatewayWithClient]:
+    """Run a gateway and connect a client; the arguments are those of `running_gateway`."""
     async with (
         running_gateway(*endpoints, react=react, **changes) as (process, policy),
         HttpClient(process.listener) as client,
     ):
-        yield GatewaySetUp(process, policy, client)
+        yield GatewayWithClient(process, policy, client)
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -1,4 +1,4 @@
-"""A client's connection to a gateway."""
+"""An HTTP client that sends requests to a gateway under test."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 if TYPE_CHECKING:
     from gateway.frontend.listener import Listener
 
+# Indexes of the request classes in the settings of `tests.support.policy`.
 IDEMPOTENT_CLASS = 0  # GET
-KEYED_CLASS = 1  # POST with an idempotency key
-NON_IDEMPOTENT_CLASS = 2  # POST without one
+KEYED_CLASS = 1  # POST with an Idempotency-Key header
+NON_IDEMPOTENT_CLASS = 2  # POST without an Idempotency-Key header
 
 
 class HttpClient:
-    """A client's connection to a gateway, for requests of the classes of `tests.support.policy`."""
+    """One connection to a gateway, on which a customer's requests are sent."""
 
     def __init__(self, listener: Listener, customer: int = 5) -> None:
         self.customer = customer
@@ -35,7 +36,14 @@
     def encode_request(
         self, class_index: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str
     ) -> bytes:
-        """Return the bytes of a request; a header that is empty is left out."""
+        """Return the bytes of a request.
+
+        Args:
+            class_index: Index of the request class.
+            timeout_ms: Request-Timeout in milliseconds.
+            body: Body of the request.
+            headers: Changed headers, with underscores for hyphens; an empty value removes the header.
+        """
         self.request_count += 1
         fields = {
             "Host": "origin.svc",
@@ -63,5 +71,5 @@
     async def send_request(
         self, class_index: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str
     ) -> Message:
-        """Send a request and return the next response."""
+        """Send a request and return the next response; the arguments are those of `encode_request`."""
         return await self.send(self.encode_request(class_index, timeout_ms, body, **headers))
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -1,4 +1,4 @@
-"""A policy that follows a test's script."""
+"""A policy whose actions a test decides."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 
 
 class ScriptedPolicy:
-    """Takes the place of the policy: `react` gives the actions for each event."""
+    """Replaces the policy: `react` returns the actions for each event.
+
+    Attributes:
+        react: The script.
+        events: All events so far.
+        actions: The actions for the latest event.
+    """
 
     def __init__(self, react: Reaction) -> None:
         self.react = react
@@ -33,21 +39,21 @@
         return self.actions
 
     def outcomes(self) -> list[Outcome]:
-        """Return the outcomes of the attempts that have finished."""
+        """Return the outcomes of all finished attempts."""
         return [event.outcome for event in self.events_of_type(AttemptFinished)]
 
-    def events_of_type(self, kind: type[EventT]) -> list[EventT]:
-        """Return the events of a type."""
-        return [event for event in self.events if isinstance(event, kind)]
+    def events_of_type(self, event_type: type[EventT]) -> list[EventT]:
+        """Return all events of a type."""
+        return [event for event in self.events if isinstance(event, event_type)]
 
 
 def do_nothing(_event: Any) -> list[Action]:
-    """Answer no event with an action."""
+    """Return no action for any event."""
     return []
 
 
 def forward_to_first(event: Any) -> list[Action]:
-    """Forward each request to the first endpoint, and fail it when that did not serve."""
+    """Forward each request to the first endpoint, and fail the request if the attempt fails."""
     if isinstance(event, Request):
         return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)]
     if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
