--- a/gateway/driver/action_executor.py
+++ b/gateway/driver/action_executor.py
@@ -61,7 +61,7 @@
             AddToCounter: self._add_to_counter,
             SetTimer: lambda action: timers.set(action.at, action.token),
             Probe: self._probe,
-            CloseIdle: lambda action: upstream.close_idle(action.endpoint_id),
+            CloseIdle: lambda action: upstream.close_idle_connections(action.endpoint_id),
             Log: lambda action: log.info("policy: %s", action.text),
         }
 
--- a/gateway/driver/endpoint_connections.py
+++ b/gateway/driver/endpoint_connections.py
@@ -35,4 +35,4 @@
     else:
         upstream.set_endpoint(endpoint_id, addresses[endpoint_id], record.started_at)
     if record.state is EndpointState.DRAINING:
-        upstream.cancel_waiting(endpoint_id)
+        upstream.cancel_waiting_attempts(endpoint_id)
--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -36,7 +36,7 @@
         probe_payload: The request of a probe.
         pools: The pool of each endpoint by its id.
         endpoint_by_address: The id of the endpoint that listens at an address.
-        open_connections: Number of connections, including those that are being opened.
+        connection_count: Number of connections, including those that are being opened.
     """
 
     def __init__(
@@ -55,8 +55,8 @@
         self.pools: dict[int, EndpointPool] = {}
         self.endpoint_by_address: dict[Address, int] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open_connections = 0
-        self.timer = self.loop.call_later(IDLE_SWEEP_SECONDS, self.close_expired_connections)
+        self.connection_count = 0
+        self.idle_check_timer = self.loop.call_later(IDLE_SWEEP_SECONDS, self.close_expired_connections)
 
     def set_endpoint(self, endpoint_id: int, address: Address, started_at: float) -> None:
         """Set where an endpoint listens and when it was started.
@@ -82,11 +82,11 @@
             del self.endpoint_by_address[pool.address]
             pool.remove()
 
-    def cancel_waiting(self, endpoint_id: int) -> None:
+    def cancel_waiting_attempts(self, endpoint_id: int) -> None:
         """Fail the attempts on an endpoint that are not written yet."""
         pool = self.pools.get(endpoint_id)
         if pool is not None:
-            pool.cancel_waiting()
+            pool.cancel_waiting_attempts()
 
     def start_attempt(
         self, endpoint_id: int, payload: bytes, timeout: float, on_finished: Callable[[AttemptResult], None]
@@ -115,11 +115,11 @@
 
         self.start_attempt(endpoint_id, self.probe_payload, self.connect_timeout, read_load_report)
 
-    def close_idle(self, endpoint_id: int) -> None:
+    def close_idle_connections(self, endpoint_id: int) -> None:
         """Close the idle connections to an endpoint."""
         pool = self.pools.get(endpoint_id)
         if pool is not None:
-            pool.close_idle()
+            pool.close_idle_connections()
 
     def reserve_connection(self, open_in_pool: int) -> bool:
         """Count one more connection if the limits of its pool and of all pools allow it.
@@ -131,21 +131,21 @@
             return False
         if not self.free_connection():
             return False
-        self.open_connections += 1
+        self.connection_count += 1
         return True
 
     def release_connection(self) -> None:
         """Count one connection fewer, as it has ended or could not be opened."""
-        self.open_connections -= 1
+        self.connection_count -= 1
 
     def free_connection(self) -> bool:
         """Return whether a connection may be opened, after closing an idle one if that is needed."""
-        if self.open_connections < self.max_connections:
+        if self.connection_count < self.max_connections:
             return True
-        pools_with_idle = [pool for pool in self.pools.values() if pool.idle]
+        pools_with_idle = [pool for pool in self.pools.values() if pool.idle_connections]
         if not pools_with_idle:
             return False
-        pool_with_oldest = min(pools_with_idle, key=lambda pool: pool.idle[0].idle_since)
+        pool_with_oldest = min(pools_with_idle, key=lambda pool: pool.idle_connections[0].idle_since)
         pool_with_oldest.close_oldest_idle()
         return True
 
@@ -154,7 +154,7 @@
         time_limit = time.monotonic() - self.idle_timeout
         for pool in self.pools.values():
             pool.close_idle_before(time_limit)
-        self.timer = self.loop.call_later(IDLE_SWEEP_SECONDS, self.close_expired_connections)
+        self.idle_check_timer = self.loop.call_later(IDLE_SWEEP_SECONDS, self.close_expired_connections)
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine that is cancelled when the client is closed."""
@@ -164,7 +164,7 @@
 
     def close(self) -> None:
         """Close all connections, and stop opening further ones."""
-        self.timer.cancel()
+        self.idle_check_timer.cancel()
         for task in self.tasks:
             task.cancel()
         for pool in self.pools.values():
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -46,9 +46,9 @@
         address: Where the endpoint listens.
         started_at: When the endpoint was last started.
         load_report_parser: Parses the load reports of the endpoint.
-        idle: Connections that carry no attempt, oldest first; the newest is used first.
+        idle_connections: Connections that carry no attempt, oldest first; the newest is used first.
         connections: All open connections.
-        waiting: Attempts that wait for a connection.
+        waiting_attempts: Attempts that wait for a connection.
         connecting: Number of connections that are being opened.
         is_removed: Whether the endpoint has moved or is gone, so that no connection is kept.
     """
@@ -59,9 +59,9 @@
         self.address = address
         self.started_at = started_at
         self.load_report_parser = owner.load_report_parser
-        self.idle: deque[UpstreamConnection] = deque()
+        self.idle_connections: deque[UpstreamConnection] = deque()
         self.connections: set[UpstreamConnection] = set()
-        self.waiting: set[Attempt] = set()
+        self.waiting_attempts: set[Attempt] = set()
         self.connecting = 0
         self.is_removed = False
 
@@ -72,7 +72,7 @@
 
     def start(self, attempt: Attempt) -> None:
         """Carry an attempt on an idle connection if one is usable, else on a new one."""
-        while self.idle:
+        while self.idle_connections:
             connection = self.take_idle()
             if connection.is_usable():
                 self.carry_after_reuse_delay(connection, attempt)
@@ -86,7 +86,7 @@
         if delay <= 0:
             connection.carry(attempt)
         else:
-            self.waiting.add(attempt)
+            self.waiting_attempts.add(attempt)
             self.loop.call_later(delay, self.reuse, connection, attempt)
 
     def carry_on_new_connection(self, attempt: Attempt) -> None:
@@ -96,16 +96,18 @@
             self.loop.call_soon(attempt.fail, Outcome.OVERLOADED)
             return
         self.connecting += 1
-        self.waiting.add(attempt)
+        self.waiting_attempts.add(attempt)
         self.owner.run_in_background(self.connect(attempt))
 
     def take_idle(self) -> UpstreamConnection:
         """Take the newest connection whose reuse delay has passed, else the one that is idle longest."""
         latest = time.monotonic() - REUSE_DELAY_SECONDS
-        newest_first = reversed(range(len(self.idle)))
-        index = next((index for index in newest_first if self.idle[index].idle_since <= latest), 0)
-        connection = self.idle[index]
-        del self.idle[index]
+        newest_first = reversed(range(len(self.idle_connections)))
+        index = next(
+            (index for index in newest_first if self.idle_connections[index].idle_since <= latest), 0
+        )
+        connection = self.idle_connections[index]
+        del self.idle_connections[index]
         return connection
 
     def reuse(self, connection: UpstreamConnection, attempt: Attempt) -> None:
@@ -129,7 +131,7 @@
                 )
         except (OSError, TimeoutError):
             self.owner.release_connection()
-            if attempt in self.waiting:
+            if attempt in self.waiting_attempts:
                 attempt.fail(Outcome.CONNECT_FAILED)
             return
         finally:
@@ -147,17 +149,17 @@
 
     def stop_waiting(self, attempt: Attempt) -> bool:
         """End an attempt's wait for a connection; return whether it is still to be carried."""
-        is_wanted = attempt in self.waiting and not attempt.is_finished
-        self.waiting.discard(attempt)
+        is_wanted = attempt in self.waiting_attempts and not attempt.is_finished
+        self.waiting_attempts.discard(attempt)
         return is_wanted
 
-    def cancel_waiting(self) -> None:
+    def cancel_waiting_attempts(self) -> None:
         """Fail the attempts that wait for a connection, as nothing new is to go to this endpoint.
 
         They never ran.  They finish only after this call returns, once the policy knows why.
         """
-        waiting = self.waiting
-        self.waiting = set()
+        waiting = self.waiting_attempts
+        self.waiting_attempts = set()
         for attempt in waiting:
             self.loop.call_soon(attempt.fail, Outcome.NOT_STARTED)
 
@@ -167,36 +169,36 @@
             connection.abort()
             return
         connection.mark_idle()
-        self.idle.append(connection)
+        self.idle_connections.append(connection)
 
     def discard(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has ended."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.owner.release_connection()
-        if connection in self.idle:
-            self.idle.remove(connection)
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
 
     def remove(self) -> None:
         """Keep no connection from now on; the attempts that were written run on."""
         self.is_removed = True
-        self.close_idle()
-        self.cancel_waiting()
+        self.close_idle_connections()
+        self.cancel_waiting_attempts()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close all idle connections."""
-        idle = self.idle
-        self.idle = deque()
+        idle = self.idle_connections
+        self.idle_connections = deque()
         for connection in idle:
             connection.abort()
 
     def close_oldest_idle(self) -> None:
         """Close the connection that has been idle longest."""
-        self.idle.popleft().abort()
+        self.idle_connections.popleft().abort()
 
     def close_idle_before(self, time_limit: float) -> None:
         """Close the connections that have been idle since before a time limit, in monotonic seconds."""
-        while self.idle and self.idle[0].idle_since < time_limit:
+        while self.idle_connections and self.idle_connections[0].idle_since < time_limit:
             self.close_oldest_idle()
 
     def close(self) -> None:
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -55,7 +55,7 @@
         await received.until_version(91)
         new_agent.may_serve.set()
         new_agent.lines.append(update_json(4))
-        await until(lambda: received.last_version == 4 and not old_agent.open)
+        await until(lambda: received.last_version == 4 and not old_agent.open_connections)
         assert received.versions == [90, 91, 3, 4]
         assert len(old_agent.targets) == 2
         assert len(client.agent_watches) == 1
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -52,7 +52,7 @@
     """Check that a complete list comes on a new connection, and that the old one ends then."""
     agent.lines.clear()
     agent.whole = update_json(44, SECOND_ENDPOINT, complete=True)
-    await until(lambda: received.last_version == 44 and agent.open == 1)
+    await until(lambda: received.last_version == 44 and agent.open_connections == 1)
     assert [record.endpoint_id for record in received.updates[-1].records] == [SECOND_ENDPOINT_ID]
 
 
@@ -104,7 +104,7 @@
         await received.until_version(42)
         # Sooner than an attempt made before its return would have been given up.
         assert time.monotonic() - returned_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
-        await until(lambda: agent.open == 1)  # the silent connection has ended
+        await until(lambda: agent.open_connections == 1)  # the silent connection has ended
 
 
 # Guards against a connection that is closed as soon as it falls silent: what it still brings counts until
--- a/tests/driver/test_policy_driver.py
+++ b/tests/driver/test_policy_driver.py
@@ -28,7 +28,7 @@
                 raise RuntimeError("another")
             return forward_to_first(event)
 
-        endpoint = FakeEndpoint(lambda _: http_response(500 if len(endpoint.seen) == 1 else 200))
+        endpoint = FakeEndpoint(lambda _: http_response(500 if len(endpoint.requests) == 1 else 200))
         async with gateway_with_client(endpoint, react=react) as gateway:
             assert (await gateway.client.ask(0)).status == 503  # it never ran
             assert (await gateway.client.ask(2)).status == 502  # it may have run
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -13,7 +13,7 @@
 from gateway.policy.actions import Action, Cancel, SetTimer, StartAttempt
 from gateway.policy.events import AttemptFinished, Outcome, Request, TimerFired
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import CLOSED_WITHOUT_RESPONSE, FakeEndpoint, keep_silent
+from tests.support.fake_endpoint import CLOSED_WITHOUT_RESPONSE, FakeEndpoint, send_no_response
 from tests.support.fake_server import LOOPBACK, listening
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
@@ -60,7 +60,7 @@
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [outcome]
-        assert len(endpoint.seen) == 1  # nothing is retried unless the policy says so
+        assert len(endpoint.requests) == 1  # nothing is retried unless the policy says so
 
 
 @pytest.mark.parametrize(
@@ -78,10 +78,10 @@
 
     64 KiB always fit into the buffers of loopback sockets, so the test pauses it in the transport's place.
     """
-    endpoint = FakeEndpoint(keep_silent)
+    endpoint = FakeEndpoint(send_no_response)
     async with gateway_with_client(endpoint) as gateway:
         response = asyncio.create_task(gateway.client.ask(NON_IDEMPOTENT_CLASS))
-        await until(lambda: endpoint.seen)
+        await until(lambda: endpoint.requests)
         (connection,) = gateway.process.driver.upstream.pools[FIRST].connections
         if has_unsent_bytes:
             connection.pause_writing()
@@ -112,15 +112,15 @@
 @async_test
 async def test_stale_pooled_connection_ends_as_reset_without_a_retry() -> None:
     def respond_once(_message: Message) -> bytes:
-        return http_response(body=b"x") if len(endpoint.seen) == 1 else CLOSED_WITHOUT_RESPONSE
+        return http_response(body=b"x") if len(endpoint.requests) == 1 else CLOSED_WITHOUT_RESPONSE
 
     endpoint = FakeEndpoint(respond_once)
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 200
         assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.RESET]
-        assert endpoint.opened == 1
-        assert len(endpoint.seen) == 2
+        assert endpoint.accepted_connections == 1
+        assert len(endpoint.requests) == 2
 
 
 class RetryOnSecond:
@@ -135,7 +135,7 @@
             return [StartAttempt(event.request_id, FIRST, self.attempt_timeout), SetTimer(0.0, POLL_TIMER)]
         if isinstance(event, TimerFired) and not self.attempt_timeout:
             # Not before the endpoint has the complete request: until then it is not in flight.
-            return [Cancel(1, 0)] if self.first.seen else [SetTimer(0.0, POLL_TIMER)]
+            return [Cancel(1, 0)] if self.first.requests else [SetTimer(0.0, POLL_TIMER)]
         if isinstance(event, AttemptFinished) and event.attempt == 0:
             return [StartAttempt(event.request_id, SECOND, 0.0)]
         return []
@@ -154,10 +154,10 @@
     open_at_retry: list[int] = []
 
     def respond(_message: Message) -> bytes:
-        open_at_retry.append(silent.open)
+        open_at_retry.append(silent.open_connections)
         return http_response(body=b"second")
 
-    silent = FakeEndpoint(keep_silent)
+    silent = FakeEndpoint(send_no_response)
     script = RetryOnSecond(silent, attempt_timeout)
     async with gateway_with_client(
         silent, FakeEndpoint(respond), react=script.react, caps__second_copies="false"
@@ -180,4 +180,4 @@
     async with gateway_with_client(endpoint, react=react, caps__second_copies="false") as gateway:
         assert (await gateway.client.ask()).status == 200
         assert gateway.policy.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
-        assert len(endpoint.seen) == 1
+        assert len(endpoint.requests) == 1
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -10,7 +10,7 @@
 from gateway.policy.actions import Action, Fail, Reject
 from gateway.policy.events import ClientDisconnected, Request
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import FakeEndpoint, keep_silent, respond_with
+from tests.support.fake_endpoint import FakeEndpoint, respond_with, send_no_response
 from tests.support.gateway import UNREACHABLE, GatewaySetUp, gateway_with_client, running_gateway
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import read_message
@@ -39,11 +39,11 @@
 
     while transport.is_reading():
         request_count += 1
-        seen_before = len(endpoint.seen)
+        seen_before = len(endpoint.requests)
         gateway.client.writer.write(gateway.client.request())
 
         def was_served(seen_before: int = seen_before) -> bool:
-            return len(endpoint.seen) > seen_before and not connection.pending
+            return len(endpoint.requests) > seen_before and not connection.pending
 
         await until(was_served)
     return UnreadConnection(connection, request_count)
@@ -106,13 +106,13 @@
 
 @async_test
 async def test_policy_is_told_of_a_disconnect_and_the_attempt_runs_on() -> None:
-    endpoint = FakeEndpoint(keep_silent)
+    endpoint = FakeEndpoint(send_no_response)
     async with running_gateway(endpoint, react=forward_to_first) as (process, policy):
         async with HttpClient(process.listener) as client:
             client.writer.write(client.request())
-            await until(lambda: endpoint.seen)
+            await until(lambda: endpoint.requests)
         await until(lambda: policy.of(ClientDisconnected))
-        assert endpoint.open == 1
+        assert endpoint.open_connections == 1
         assert not policy.outcomes()
         assert process.driver.open_requests
 
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -81,7 +81,7 @@
         for customer in range(1, 80):
             async with HttpClient(process.listener, customer) as client:
                 assert (await client.ask()).status == 200
-        assert counter.opened > 6
+        assert counter.accepted_connections > 6
         assert rate_limiter.failure_ratio.value > 0
         assert rate_limiter.rate >= rate_before
 
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -9,7 +9,7 @@
 from gateway.policy.actions import Action, StartAttempt
 from gateway.policy.events import ClientDisconnected, Outcome, Request
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import FakeEndpoint, keep_silent
+from tests.support.fake_endpoint import FakeEndpoint, send_no_response
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import KEYED_CLASS, NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import Message, http_response, read_message
@@ -38,7 +38,7 @@
     def react(event: Any) -> list[Action]:
         return [StartAttempt(event.request_id, FIRST, 0.0)] if isinstance(event, Request) else []
 
-    async with gateway_with_client(FakeEndpoint(keep_silent), react=react) as gateway:
+    async with gateway_with_client(FakeEndpoint(send_no_response), react=react) as gateway:
         started_at = time.monotonic()
         assert (await gateway.client.ask(NON_IDEMPOTENT_CLASS, 300)).status == 504
         assert time.monotonic() - started_at < 0.35  # its deadline, and the 50 ms allowed beyond
@@ -53,7 +53,7 @@
 @async_test
 async def test_attempt_that_ran_into_the_deadline_is_not_retried() -> None:
     """Retries in the last millisecond of a request would each cost a connection."""
-    silent = FakeEndpoint(keep_silent)
+    silent = FakeEndpoint(send_no_response)
     async with running_gateway(silent, silent, react=None, **NO_QUOTA_NO_HEDGING) as (process, _):
 
         async def ask(customer: int) -> int:
@@ -62,8 +62,8 @@
 
         statuses = await asyncio.gather(*(ask(customer) for customer in range(8)))
         assert all(status != 200 for status in statuses)
-        assert silent.opened == 8
-        assert len(silent.seen) == 8
+        assert silent.accepted_connections == 8
+        assert len(silent.requests) == 8
 
 
 class CostlyWork:
@@ -122,4 +122,4 @@
         assert response.body == b"done"
         assert len(seen) == 2
         assert seen[0] is not seen[1]
-        assert seen[0].open == 0
+        assert seen[0].open_connections == 0
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -179,7 +179,7 @@
         most_descriptors = await ask_beside_idle_clients(site.program, customers)
         assert idle_clients.closed_count
         assert site.agent.connections_while_down > 1
-        assert site.counter.open == CONNECTION_COUNT
+        assert site.counter.open_connections == CONNECTION_COUNT
         assert site.counter.calls
 
         publish(site.agent, 2, [site.second_host])
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -17,7 +17,7 @@
     UpdateKind,
 )
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import FakeEndpoint, keep_silent
+from tests.support.fake_endpoint import FakeEndpoint, send_no_response
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import http_response
@@ -29,11 +29,11 @@
 @async_test
 async def test_connections_are_reused_and_connection_close_is_honoured() -> None:
     responses = [http_response(), http_response(Connection="close"), http_response()]
-    endpoint = FakeEndpoint(lambda _: responses[len(endpoint.seen) - 1])
+    endpoint = FakeEndpoint(lambda _: responses[len(endpoint.requests) - 1])
     async with gateway_with_client(endpoint) as gateway:
         for opened in (1, 1, 2):
             assert (await gateway.client.ask()).status == 200
-            assert endpoint.opened == opened
+            assert endpoint.accepted_connections == opened
 
 
 @async_test
@@ -41,15 +41,15 @@
     endpoint = FakeEndpoint()
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.ask()).status == 200
-        assert endpoint.open == 1
+        assert endpoint.open_connections == 1
         upstream = gateway.process.driver.upstream
         pool = upstream.pools[FIRST]
-        pool.idle[0].idle_since -= OVER_HALF_IDLE_TIMEOUT_SECONDS
-        upstream.timer.cancel()
+        pool.idle_connections[0].idle_since -= OVER_HALF_IDLE_TIMEOUT_SECONDS
+        upstream.idle_check_timer.cancel()
         upstream.close_expired_connections()
-        await until(lambda: endpoint.open == 0)
+        await until(lambda: endpoint.open_connections == 0)
         assert not pool.connections
-        assert upstream.open_connections == 0
+        assert upstream.connection_count == 0
 
 
 @async_test
@@ -61,9 +61,9 @@
         address = driver.upstream.pools[FIRST].address
         restarted = EndpointRecord(FIRST, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
         driver.apply_endpoint_update(EndpointUpdate(UpdateKind.DELTA, 42, (restarted,)), {FIRST: address})
-        await until(lambda: endpoint.open == 0)
+        await until(lambda: endpoint.open_connections == 0)
         assert (await gateway.client.ask()).status == 200
-        assert endpoint.opened == 2
+        assert endpoint.accepted_connections == 2
 
 
 @async_test
@@ -74,7 +74,7 @@
         return forward_to_first(event)
 
     responsive = FakeEndpoint()
-    silent = FakeEndpoint(keep_silent)
+    silent = FakeEndpoint(send_no_response)
     async with (
         gateway_with_client(responsive, silent, silent, react=react) as gateway,
         HttpClient(gateway.process.listener) as other,
@@ -82,8 +82,8 @@
         gateway.process.driver.upstream.max_connections = 1
         assert (await gateway.client.ask(0)).status == 200
         gateway.client.writer.write(gateway.client.request(1))  # the first one's idle connection is closed
-        await until(lambda: silent.seen)
-        await until(lambda: responsive.open == 0)
+        await until(lambda: silent.requests)
+        await until(lambda: responsive.open_connections == 0)
         assert (await other.ask(2)).status == 502  # no connection may be opened: it never ran
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.OVERLOADED]
 
@@ -91,7 +91,7 @@
 @async_test
 async def test_load_report_has_the_columns_of_the_settings_in_their_order() -> None:
     headers = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
-    endpoint = FakeEndpoint(lambda _: http_response(Server_Load=headers[len(endpoint.seen) - 1]))
+    endpoint = FakeEndpoint(lambda _: http_response(Server_Load=headers[len(endpoint.requests) - 1]))
     async with gateway_with_client(endpoint) as gateway:
         for _ in headers:
             assert (await gateway.client.ask()).status == 200
@@ -112,4 +112,4 @@
         assert probed.endpoint_id == FIRST
         assert probed.outcome == Outcome.OK
         assert probed.load_report == (9.0, 0.5, 1.0)
-        assert endpoint.seen[0].start == "GET /-/load HTTP/1.1"
+        assert endpoint.requests[0].start == "GET /-/load HTTP/1.1"
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -38,7 +38,11 @@
             publish(agent, 1, self.hosts)
         self.configure(0)
         program = await services.enter_async_context(running_program(self.config_path))
-        await until(lambda: self.agents[0].open and self.counters[0].opened == CONNECTION_COUNT)
+        await until(
+            lambda: (
+                self.agents[0].open_connections and self.counters[0].accepted_connections == CONNECTION_COUNT
+            )
+        )
         return program
 
     def configure(self, index: int) -> None:
@@ -60,13 +64,15 @@
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         assert b"configuration unchanged" in await process.stderr.readline()
-        assert agents[0].open
+        assert agents[0].open_connections
         assert await readiness_status(port) == 200
 
         site.configure(1)
         process.send_signal(signal.SIGHUP)
-        await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
-        await until(lambda: counters[1].opened == CONNECTION_COUNT and not counters[0].open)
+        await until(lambda: len(agents[1].targets) == 2 and not agents[0].open_connections)
+        await until(
+            lambda: counters[1].accepted_connections == CONNECTION_COUNT and not counters[0].open_connections
+        )
         assert await readiness_status(port) == 200
         assert process.returncode is None
         process.send_signal(signal.SIGTERM)
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -33,7 +33,7 @@
         response = await gateway.client.ask(1, body=b"a recording", Request_Id="9b1f03aa5c7e2d41")
         assert response.status == 200
         assert response.body == b"got a recording"
-        (forwarded,) = endpoint.seen
+        (forwarded,) = endpoint.requests
         assert forwarded.start == "POST /class-1?customer=0000000000000005 HTTP/1.1"
         assert forwarded.headers["request-id"] == "9b1f03aa5c7e2d41"
         assert forwarded.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -90,7 +90,7 @@
         malformed = gateway.client.request(class_index, 4000, b"", **{header: value})
         assert (await gateway.client.send(malformed)).status == status
         assert not gateway.policy.events
-        assert not endpoint.opened
+        assert not endpoint.accepted_connections
 
 
 @async_test
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -8,7 +8,7 @@
 from gateway.policy.actions import Action, StartAttempt
 from gateway.policy.events import Request
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import FakeEndpoint, keep_silent
+from tests.support.fake_endpoint import FakeEndpoint, send_no_response
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import http_response
@@ -67,10 +67,10 @@
     def react(event: Any) -> list[Action]:
         return forward_to_first(event) if isinstance(event, Request) else []
 
-    endpoint = FakeEndpoint(keep_silent)
+    endpoint = FakeEndpoint(send_no_response)
     async with gateway_with_client(endpoint, react=react) as gateway:
         open_request = asyncio.create_task(gateway.client.ask(NON_IDEMPOTENT_CLASS, 60_000))
-        await until(lambda: endpoint.seen)
+        await until(lambda: endpoint.requests)
         gateway.process.drain_timeout = SHORT_DRAIN_SECONDS
         await gateway.process.drain()
         assert (await open_request).status == 504
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -24,7 +24,7 @@
 from tests.process.gated_loop import GatedLoop, gate_connections
 from tests.process.raw_client import read_all
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import FakeEndpoint, keep_silent, respond_with
+from tests.support.fake_endpoint import FakeEndpoint, respond_with, send_no_response
 from tests.support.fake_server import LOOPBACK, FakeServer
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
@@ -128,24 +128,24 @@
         kinds = [type(event) for event in gateway.policy.events]
         assert kinds.index(AttemptFinished) > kinds.index(EndpointUpdate)
         assert gateway.policy.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
-        await until(lambda: leaving.opened == 1)
-        assert not leaving.seen
+        await until(lambda: leaving.accepted_connections == 1)
+        assert not leaving.requests
 
 
 # Guards against a hedged request for a client that disconnected while it waited for a connection.
 @async_test
 async def test_a_waiting_hedged_request_is_not_sent_once_its_client_has_disconnected() -> None:
-    silent = FakeEndpoint(keep_silent)
+    silent = FakeEndpoint(send_no_response)
     second = FakeEndpoint()
     async with gated_gateway(silent, second, react=hedge_on_second_endpoint) as gateway:
         gateway.open_at_once(FIRST)
         async with HttpClient(gateway.process.listener) as client:
             client.writer.write(client.request())
-            await until(lambda: silent.seen and gateway.loop.connects == 2)
+            await until(lambda: silent.requests and gateway.loop.connects == 2)
         await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
         gateway.loop.open.set()
-        await until(lambda: gateway.driver.upstream.pools[SECOND].idle)
-        assert not second.seen
+        await until(lambda: gateway.driver.upstream.pools[SECOND].idle_connections)
+        assert not second.requests
 
 
 # Guards against an attempt for a client that disconnected while it waited for a connection.
@@ -161,10 +161,12 @@
         assert not gateway.driver.open_requests
         assert not listener.budget.open_request_ids
         gateway.loop.open.set()
-        await until(lambda: gateway.driver.upstream.pools[FIRST].idle)  # opened anyway, it is pooled
+        await until(
+            lambda: gateway.driver.upstream.pools[FIRST].idle_connections
+        )  # opened anyway, it is pooled
         async with HttpClient(listener) as client:
             assert (await client.ask(Request_Id="second")).status == 200
-        assert request_ids(endpoint.seen) == ["second"]
+        assert request_ids(endpoint.requests) == ["second"]
 
 
 def attempt_second_then_first(event: Any) -> list[Action]:
@@ -202,8 +204,8 @@
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not gateway.driver.open_requests)
         gateway.loop.open.set()
-        await until(lambda: gateway.driver.upstream.pools[SECOND].idle)
-        assert "once" not in request_ids(second.seen)
+        await until(lambda: gateway.driver.upstream.pools[SECOND].idle_connections)
+        assert "once" not in request_ids(second.requests)
 
 
 # Guards against a hedged request that is written once its connection may be used again, when the first
@@ -226,8 +228,8 @@
         driver = gateway.process.driver
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not driver.open_requests)
-        await until(lambda: driver.upstream.pools[SECOND].idle)
-        assert "once" not in request_ids(second.seen)
+        await until(lambda: driver.upstream.pools[SECOND].idle_connections)
+        assert "once" not in request_ids(second.requests)
 
 
 @contextlib.contextmanager
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -25,7 +25,7 @@
     return http_response(body=b"done")
 
 
-def keep_silent(_message: Message) -> None:
+def send_no_response(_message: Message) -> None:
     """Respond to no request."""
 
 
@@ -34,13 +34,13 @@
     """Answers each request with what `answer` makes of it; None keeps silent."""
 
     answer: Callable[[Message], bytes | None] = respond_done
-    seen: list[Message] = field(default_factory=list)
+    requests: list[Message] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer requests until a response announces the close."""
         while True:
             message = await read_message(reader)
-            self.seen.append(message)
+            self.requests.append(message)
             response = self.answer(message)
             if response is not None:
                 writer.write(response)
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -44,17 +44,17 @@
 class FakeServer:
     """Serves connections by its `serve`, and counts them."""
 
-    opened: int = field(default=0, init=False)
-    open: int = field(default=0, init=False)
+    accepted_connections: int = field(default=0, init=False)
+    open_connections: int = field(default=0, init=False)
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Count a connection and serve it."""
-        self.opened += 1
-        self.open += 1
+        self.accepted_connections += 1
+        self.open_connections += 1
         try:
             await self.serve(reader, writer)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a connection until its client closes it."""
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -21,8 +21,8 @@
         assert (await gateway.client.ask()).status == 200
         upstream = gateway.process.driver.upstream
         upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST].address, 0.0)
-        await until(lambda: not endpoint.open)
+        await until(lambda: not endpoint.open_connections)
         assert (await gateway.client.ask()).status == 502  # still meant for the old one
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
-        assert len(endpoint.seen) == 1
+        assert len(endpoint.requests) == 1
         assert list(upstream.pools) == [NEW_ENDPOINT_ID]
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -41,7 +41,7 @@
         assert [response.status for response in responses] == [200, 200]
         assert [response.body for response in responses] == [b"one", b"two"]
         assert clients.policy.outcomes() == [Outcome.OK, Outcome.OK]
-        assert endpoint.opened == 2  # such a connection is of no further use
+        assert endpoint.accepted_connections == 2  # such a connection is of no further use
 
 
 # Guards against the same where the bytes come while the connection is idle, and the loop has not read them
@@ -58,7 +58,7 @@
     async with gateway_with_client(handle) as gateway:
         assert (await gateway.client.ask(Request_Id="one")).body == b"one"
         upstream = gateway.process.driver.upstream
-        (connection,) = upstream.pools[FIRST].idle
+        (connection,) = upstream.pools[FIRST].idle_connections
         assert connection.is_usable()
         # No step of the loop lies between these: the bytes are in the socket, not yet read.
         writers[0].write(http_response(body=b"a late second copy"))
@@ -107,7 +107,7 @@
         assert not Outcome.ERROR.never_ran
         (finished,) = gateway.policy.of(AttemptFinished)
         assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
-        await until(lambda: not endpoint.open)
+        await until(lambda: not endpoint.open_connections)
 
 
 class ResponseEnd(enum.Enum):
@@ -156,7 +156,7 @@
         assert response.status == 200
         assert response.body == b"something"
         assert gateway.policy.outcomes() == [Outcome.OK]
-        assert not gateway.process.driver.upstream.pools[FIRST].idle
+        assert not gateway.process.driver.upstream.pools[FIRST].idle_connections
 
 
 # Guards against taking part of a response for all of it: a reset does not end it.
@@ -175,4 +175,4 @@
         assert response.status == 502
         assert response.body == b""
         assert gateway.policy.outcomes() == [Outcome.RESET]
-        assert not gateway.process.driver.upstream.pools[FIRST].idle
+        assert not gateway.process.driver.upstream.pools[FIRST].idle_connections
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -66,9 +66,9 @@
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="one")).body == b"one"
             client.writer.write(client.request(NON_IDEMPOTENT_CLASS, Request_Id="two"))
-            await until(lambda: gateway.driver.upstream.pools[FIRST].waiting)
+            await until(lambda: gateway.driver.upstream.pools[FIRST].waiting_attempts)
         await until(lambda: policy.of(ClientDisconnected))
         assert policy.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
         async with HttpClient(gateway.listener) as client:
             assert (await client.ask(Request_Id="three")).body == b"three"
-        assert [message.headers["request-id"] for message in endpoint.seen] == ["one", "three"]
+        assert [message.headers["request-id"] for message in endpoint.requests] == ["one", "three"]
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -74,4 +74,4 @@
             assert response.body == b"done"
         finished = gateway.policy.of(AttemptFinished)
         assert [event.load_report for event in finished] == [(), ()]
-        assert endpoint.opened == 1  # the connection goes on being used
+        assert endpoint.accepted_connections == 1  # the connection goes on being used
