--- a/gateway/upstream/__init__.py
+++ b/gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: attempts on endpoints, their connections, and a pool of connections to each endpoint."""
+"""HTTP client for the endpoints: attempts, connections, and a connection pool for each endpoint."""
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a single request on its way to a single endpoint."""
+"""An attempt: one request that is sent to one endpoint once."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt or a probe ended.
+    """The result of an attempt or a probe.
 
     Attributes:
-        outcome: What the end means to the policy.
-        elapsed: Seconds from the start to the end.
-        load_report: The numbers of the load report by the columns of the settings; empty if the endpoint sent
-            none that could be read.
-        body: The body of the response; empty without a response.
-        content_type: The response's Content-Type; empty without one.
+        outcome: The outcome that is reported to the policy.
+        elapsed: Seconds from the start to the end of the attempt.
+        load_report: The values of the load report, in the order of the columns in the settings; empty if the
+            endpoint sent no valid report.
+        body: The response body; empty if there was no response.
+        content_type: The value of the response's Content-Type header; empty if it has none.
     """
 
     outcome: Outcome
@@ -35,15 +35,15 @@
 
 
 class AttemptState(enum.Enum):
-    """How far an attempt has come."""
+    """The states of an attempt."""
 
-    WAITING = enum.auto()  # for a connection; none of its bytes has been written
-    WRITTEN = enum.auto()  # to a connection, so that the endpoint may run it
-    ABANDONED = enum.auto()  # after it was written; it finishes once its connection has ended
-    FINISHED = enum.auto()  # its result has been handed over
+    WAITING = enum.auto()  # waits for a connection; no byte of the request has been written
+    WRITTEN = enum.auto()  # the request was written to a connection, so the endpoint may execute it
+    ABANDONED = enum.auto()  # abandoned after the request was written; waits for its connection to close
+    FINISHED = enum.auto()  # the callback has received the result
 
 
-# Looked up once: access to a member through its class takes a Python call in Python 3.11.
+# Module-level aliases, because looking up an enum member on its class costs a Python call in Python 3.11.
 WAITING = AttemptState.WAITING
 WRITTEN = AttemptState.WRITTEN
 ABANDONED = AttemptState.ABANDONED
@@ -51,65 +51,65 @@
 
 
 class AttemptConnection(Protocol):
-    """What an attempt needs of the connection that carries it."""
+    """The interface of a connection that an attempt uses."""
 
     has_unsent_bytes: bool
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection without waiting for unsent bytes."""
 
 
 class Attempt:
-    """One request on its way to one endpoint; its callback is called with its result exactly once.
+    """One request that is sent to one endpoint; the callback receives the result exactly once.
 
-    The attempt owns its state: WAITING becomes WRITTEN by `bind`, WRITTEN becomes ABANDONED by `abandon` or
-    `mark_abandoned`, and every state becomes FINISHED by `finish` or `fail`.
+    State transitions: `assign_connection` changes WAITING to WRITTEN, `abandon` and `mark_abandoned` change
+    WRITTEN to ABANDONED, and `finish` and `fail` change any state to FINISHED.
 
     Attributes:
-        payload: The bytes of the request until they are written, then empty.
-        on_finished: Called with the result.
-        started_at: When the attempt was made, in seconds of the performance counter.
-        state: How far the attempt has come.
-        connection: The connection to which its bytes may have been written; None before.
-        timer: Abandons the attempt when its time is up; None without a timeout.
-        abandoned_as: The outcome of an abandoned attempt; None until it is abandoned.
+        request: The bytes of the HTTP request; empty once they have been passed to the connection.
+        on_finished: The callback that receives the result.
+        started_at: The `time.perf_counter` value at which the attempt was created.
+        state: The current state.
+        connection: The connection that the request was written to; None while the attempt is waiting.
+        timer: Abandons the attempt at its timeout; None if it has no timeout.
+        abandon_outcome: The outcome that an abandoned attempt will have; None if it is not abandoned.
     """
 
-    __slots__ = ("abandoned_as", "connection", "on_finished", "payload", "started_at", "state", "timer")
+    __slots__ = ("abandon_outcome", "connection", "on_finished", "request", "started_at", "state", "timer")
 
-    def __init__(self, payload: bytes, on_finished: Callable[[AttemptResult], None]) -> None:
-        self.payload = payload
+    def __init__(self, request: bytes, on_finished: Callable[[AttemptResult], None]) -> None:
+        self.request = request
         self.on_finished = on_finished
         self.started_at = time.perf_counter()
         self.state = WAITING
         self.connection: AttemptConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.abandoned_as: Outcome | None = None
+        self.abandon_outcome: Outcome | None = None
 
     @property
     def is_finished(self) -> bool:
-        """Whether the result has been handed over."""
+        """Whether the callback has received the result."""
         return self.state is FINISHED
 
     @property
     def elapsed(self) -> float:
-        """The seconds since the start."""
+        """Seconds since the attempt was created."""
         return time.perf_counter() - self.started_at
 
     def start_timeout(self, loop: asyncio.AbstractEventLoop, seconds: float) -> None:
-        """Abandon the attempt unless it finishes in time."""
+        """Abandon the attempt with TIMEOUT unless it finishes within a number of seconds."""
         self.timer = loop.call_later(seconds, self.abandon, Outcome.TIMEOUT)
 
-    def bind(self, connection: AttemptConnection) -> bytes:
-        """Bind the attempt to its connection, and return the bytes to write, which it then forgets."""
+    def assign_connection(self, connection: AttemptConnection) -> bytes:
+        """Assign the connection and return the request to write, which the attempt no longer stores."""
         self.connection = connection
         self.state = WRITTEN
-        payload = self.payload
-        self.payload = b""
-        return payload
+        request = self.request
+        self.request = b""
+        return request
 
     def finish(self, result: AttemptResult) -> None:
-        """Hand the result over; a later result is ignored."""
+        """Pass the result to the callback; later results are ignored."""
         if self.state is FINISHED:
             return
         self.state = FINISHED
@@ -118,15 +118,15 @@
         self.on_finished(result)
 
     def fail(self, outcome: Outcome) -> None:
-        """Finish without a response."""
+        """Finish the attempt with an outcome but no response."""
         self.finish(AttemptResult(outcome, self.elapsed))
 
     def abandon(self, outcome: Outcome) -> None:
-        """Stop waiting for the response.
+        """Stop waiting for a connection or for the response.
 
-        An attempt that was written may run until its connection has ended.  It therefore finishes only
-        then, so that no retry runs beside it.  One that was not written never ran, whatever the reason for
-        abandoning it.
+        The endpoint may execute a written request until the connection is closed, so the attempt finishes
+        only then; this prevents a retry from running concurrently.  A request that was not written cannot
+        have been executed, so the attempt finishes immediately with an outcome that says so.
         """
         if self.state is WAITING:
             unwritten_outcome = (
@@ -139,19 +139,19 @@
             self.connection.abort()
 
     def mark_abandoned(self, outcome: Outcome) -> None:
-        """Set the outcome that the attempt has once its connection has ended; later calls do nothing."""
+        """Set the outcome for when the connection closes; does nothing unless the state is WRITTEN."""
         if self.state is WRITTEN:
             self.state = ABANDONED
-            self.abandoned_as = outcome
+            self.abandon_outcome = outcome
 
     def outcome_of_lost_connection(self) -> Outcome:
-        """Return the outcome that the end of the connection means.
+        """Return the outcome of an attempt whose connection was closed before the response was complete.
 
-        A request of which part was still unsent was incomplete at the endpoint and cannot have run.
+        An endpoint cannot have executed a request of which some bytes were never sent.
         """
         assert self.connection is not None
         if not self.connection.has_unsent_bytes:
-            return self.abandoned_as or Outcome.RESET
-        if self.abandoned_as is Outcome.CANCELLED:
+            return self.abandon_outcome or Outcome.RESET
+        if self.abandon_outcome is Outcome.CANCELLED:
             return Outcome.NOT_STARTED
-        return self.abandoned_as or Outcome.CONNECT_FAILED
+        return self.abandon_outcome or Outcome.CONNECT_FAILED
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, which carries one attempt at a time."""
+"""A connection to an endpoint, which sends one request at a time and reads its response."""
 
 from __future__ import annotations
 
@@ -20,38 +20,38 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """The interface of a connection pool that its connections use."""
 
     endpoint_id: int
     load_report_parser: LoadReportParser
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop on which the callbacks of attempts run."""
+        """The event loop that runs the callbacks of attempts."""
 
-    def put_back(self, connection: UpstreamConnection) -> None:
-        """Take back a connection that can carry another attempt."""
+    def return_connection(self, connection: UpstreamConnection) -> None:
+        """Return a reusable connection to the pool."""
 
-    def discard(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+    def remove_connection(self, connection: UpstreamConnection) -> None:
+        """Remove a closed connection from the pool."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an endpoint; it carries one attempt at a time.
+    """A connection to an endpoint; it serves one attempt at a time.
 
-    The event loop calls the methods of `asyncio.Protocol`; the pool calls the others.
+    The event loop calls the methods of `asyncio.Protocol`; the pool and the attempt call the others.
 
     Attributes:
         pool: The pool that the connection belongs to.
-        transport: None until the connection is open.
-        attempt: The attempt that is carried; None while the connection is idle.
-        idle_since: When the pool took the connection back, in monotonic seconds.
-        has_unsent_bytes: Whether part of the request is still in this process.
+        transport: The transport of the connection; None until the connection is open.
+        attempt: The attempt in progress; None while the connection is idle.
+        idle_since: The `time.monotonic` value at which the connection became idle.
+        has_unsent_bytes: Whether the transport still buffers bytes of the request.
         parser: Parses the responses.
-        readable: Polls the socket for bytes that the event loop has not read yet.
+        poller: Polls the socket for bytes that the event loop has not read yet.
     """
 
-    __slots__ = ("attempt", "has_unsent_bytes", "idle_since", "parser", "pool", "readable", "transport")
+    __slots__ = ("attempt", "has_unsent_bytes", "idle_since", "parser", "poller", "pool", "transport")
 
     def __init__(self, pool: ConnectionOwner) -> None:
         self.pool = pool
@@ -60,74 +60,77 @@
         self.idle_since = 0.0
         self.has_unsent_bytes = False
         self.parser = ResponseParser()
-        self.readable = select.poll()
+        self.poller = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have unsent bytes reported, and prepare to poll for unread ones."""
-        transport = cast("asyncio.Transport", transport)  # uvloop's are not its subclasses
-        transport.set_write_buffer_limits(high=0)  # report at once bytes that could not be written
+        """Enable notifications of unsent bytes and register the socket with the poller."""
+        transport = cast(
+            "asyncio.Transport", transport
+        )  # not `isinstance`: uvloop's transports are no subclasses
+        transport.set_write_buffer_limits(high=0)  # call `pause_writing` as soon as a byte is buffered
         self.transport = transport
-        self.readable.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self.poller.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is open and is not being closed."""
+        """Whether the connection is open and not closing."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Return whether an idle connection can carry an attempt.
+        """Return whether an idle connection can be used for another attempt.
 
-        Bytes that can be read before the attempt is written do not belong to its response: they are a second
-        copy of the last response, noise, or the end of the connection.
+        A socket that is readable before the request is written holds no response to that request, but a
+        duplicate of the last response, garbage or the end of the stream.
         """
-        return self.is_open and not self.readable.poll(0)
+        return self.is_open and not self.poller.poll(0)
 
     def mark_idle(self) -> None:
-        """Note that the connection waits for its next attempt from now on."""
+        """Record the time at which the connection became idle."""
         self.idle_since = time.monotonic()
 
-    def carry(self, attempt: Attempt) -> None:
-        """Write an attempt's request and wait for the response."""
+    def send(self, attempt: Attempt) -> None:
+        """Write the request of an attempt; the attempt finishes when its response is complete."""
         assert self.transport is not None
         self.attempt = attempt
-        self.transport.write(attempt.bind(self))
+        self.transport.write(attempt.assign_connection(self))
 
     def pause_writing(self) -> None:
-        """Note that part of the request is not sent yet."""
+        """Record that part of the request is still buffered."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Note that the whole request is sent."""
+        """Record that all buffered bytes have been sent."""
         self.has_unsent_bytes = False
 
     def data_received(self, data: bytes) -> None:
-        """Parse part of a response; the attempt finishes once it is complete."""
+        """Parse received bytes, and finish the attempt if the response is complete."""
         if self.attempt is None:
-            self.abort()  # a response without a request: the framing is lost
+            self.abort()  # data without a request in progress: response boundaries are no longer known
             return
         try:
             self.parser.feed(data)
         except MalformedResponseError as error:
             log.warning("endpoint %s: malformed response: %s", self.pool.endpoint_id, error)
-            # The request may have run.  ERROR, not RESET: the endpoint is up, so the policy keeps using it.
+            # The endpoint may have executed the request.  The outcome is ERROR and not RESET, because the
+            # endpoint is up and the policy should keep using it.
             self.attempt.mark_abandoned(Outcome.ERROR)
-            self.abort()  # the attempt finishes with its connection
+            self.abort()  # the attempt finishes in `connection_lost`
             return
         if self.parser.is_complete and self.is_open:
-            # Only once all bytes that were read are parsed: completing may start the next attempt on this
-            # connection, which must not get the bytes behind this response.
-            self.complete()
+            # Not called by the parser but after all received bytes are parsed: it may start the next attempt
+            # on this connection, and bytes after this response must not be parsed as the next one.
+            self.finish_attempt()
 
     def eof_received(self) -> None:
-        """Complete a response without framing; a reset does not complete one, and is not reported here."""
-        if self.attempt is None or self.attempt.abandoned_as is not None:
+        """Complete a close-delimited response; asyncio does not call this method on a reset."""
+        if self.attempt is None or self.attempt.abandon_outcome is not None:
             return
         self.parser.feed_eof()
         if self.parser.is_complete and self.is_open:
-            self.complete()
+            self.finish_attempt()
 
-    def complete(self) -> None:
-        """Return the connection to its pool, or close it, and then hand the response over."""
+    def finish_attempt(self) -> None:
+        """Return the connection to its pool or close it, then finish the attempt with the response."""
         attempt = self.attempt
         assert attempt is not None
         parser = self.parser
@@ -142,21 +145,21 @@
         self.attempt = None
         parser.reset()
         if is_reusable and not self.has_unsent_bytes:
-            self.pool.put_back(self)
+            self.pool.return_connection(self)
         else:
             self.abort()
         attempt.finish(result)
 
     def abort(self) -> None:
-        """Close the connection at once, whatever is not sent yet."""
+        """Close the connection immediately and discard unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Leave the pool, and finish the attempt that was carried."""
-        self.pool.discard(self)
+        """Leave the pool, and finish the attempt in progress, if any."""
+        self.pool.remove_connection(self)
         attempt = self.attempt
         if attempt is not None:
             self.attempt = None
-            # The descriptor is closed only after this call returns; a retry must come later.
+            # asyncio closes the file descriptor after this method returns; a retry must not start before.
             self.pool.loop.call_soon(attempt.fail, attempt.outcome_of_lost_connection())
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to one endpoint."""
+"""Connection pool for one endpoint."""
 
 from __future__ import annotations
 
@@ -17,40 +17,42 @@
     from gateway.upstream.attempt import Attempt
     from gateway.upstream.load_report import LoadReportParser
 
-REUSE_DELAY_SECONDS = 0.010  # after a response, as a second copy of it may come some milliseconds later
+# A connection is not reused for this time after a response, because a duplicate of the response may arrive
+# some milliseconds later.
+REUSE_DELAY_SECONDS = 0.010
 
 
 class PoolOwner(Protocol):
-    """What a pool needs of the client that all pools share."""
+    """The interface of the upstream client that its pools use."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout: float
     load_report_parser: LoadReportParser
 
-    def reserve_connection(self, open_in_pool: int) -> bool:
-        """Count one more connection if the limits allow it; return whether they do."""
+    def reserve_connection(self, connections_in_pool: int) -> bool:
+        """Count a new connection if the limits allow it; return whether they do."""
 
     def release_connection(self) -> None:
-        """Count one connection fewer."""
+        """Subtract a connection from the count of connections."""
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine that is cancelled when the client is closed."""
+        """Run a coroutine as a task, which is cancelled when the client is closed."""
 
 
 class EndpointPool:
-    """The connections to one endpoint, and the attempts that wait for one.
+    """The connections to one endpoint, and the attempts that wait for one of them.
 
     Attributes:
-        owner: The client that all pools share.
+        owner: The upstream client that the pool belongs to.
         endpoint_id: The endpoint's id.
-        address: Where the endpoint listens.
-        started_at: When the endpoint was last started.
+        address: The address that the endpoint listens on.
+        started_at: The start time of the endpoint as discovery reports it.
         load_report_parser: Parses the load reports of the endpoint.
-        idle_connections: Connections that carry no attempt, oldest first; the newest is used first.
+        idle_connections: Idle connections, the longest idle first; the most recently used is reused first.
         connections: All open connections.
         waiting_attempts: Attempts that wait for a connection.
-        connecting: Number of connections that are being opened.
-        is_removed: Whether the endpoint has moved or is gone, so that no connection is kept.
+        connecting_count: Number of connections that are being opened.
+        is_removed: Whether the endpoint has moved or is gone; the pool then keeps no idle connections.
     """
 
     def __init__(self, owner: PoolOwner, endpoint_id: int, address: Address, started_at: float) -> None:
@@ -62,68 +64,71 @@
         self.idle_connections: deque[UpstreamConnection] = deque()
         self.connections: set[UpstreamConnection] = set()
         self.waiting_attempts: set[Attempt] = set()
-        self.connecting = 0
+        self.connecting_count = 0
         self.is_removed = False
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop that all pools share."""
+        """The event loop of the upstream client."""
         return self.owner.loop
 
-    def start(self, attempt: Attempt) -> None:
-        """Carry an attempt on an idle connection if one is usable, else on a new one."""
+    def send(self, attempt: Attempt) -> None:
+        """Send an attempt on an idle connection if one is usable, otherwise on a new connection."""
         while self.idle_connections:
-            connection = self.take_idle()
+            connection = self.pop_idle_connection()
             if connection.is_usable():
-                self.carry_after_reuse_delay(connection, attempt)
+                self.send_after_reuse_delay(connection, attempt)
                 return
             connection.abort()
-        self.carry_on_new_connection(attempt)
+        self.send_on_new_connection(attempt)
 
-    def carry_after_reuse_delay(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """Carry an attempt on a connection once that has been idle for the reuse delay."""
+    def send_after_reuse_delay(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Send an attempt on a connection as soon as the connection has been idle for the reuse delay."""
         delay = connection.idle_since + REUSE_DELAY_SECONDS - time.monotonic()
         if delay <= 0:
-            connection.carry(attempt)
+            connection.send(attempt)
         else:
             self.waiting_attempts.add(attempt)
-            self.loop.call_later(delay, self.reuse, connection, attempt)
+            self.loop.call_later(delay, self.finish_reuse_delay, connection, attempt)
 
-    def carry_on_new_connection(self, attempt: Attempt) -> None:
-        """Start to open a connection for an attempt; without capacity for one, fail the attempt."""
-        if not self.owner.reserve_connection(self.connecting + len(self.connections)):
-            # Nothing was sent.  It is no failed connection either, as the endpoint is not to blame.
+    def send_on_new_connection(self, attempt: Attempt) -> None:
+        """Open a connection for an attempt in the background; fail the attempt at the connection limit."""
+        if not self.owner.reserve_connection(self.connecting_count + len(self.connections)):
+            # OVERLOADED says that the request was not executed.  CONNECT_FAILED would blame the endpoint.
             self.loop.call_soon(attempt.fail, Outcome.OVERLOADED)
             return
-        self.connecting += 1
+        self.connecting_count += 1
         self.waiting_attempts.add(attempt)
         self.owner.run_in_background(self.connect(attempt))
 
-    def take_idle(self) -> UpstreamConnection:
-        """Take the newest connection whose reuse delay has passed, else the one that is idle longest."""
-        latest = time.monotonic() - REUSE_DELAY_SECONDS
+    def pop_idle_connection(self) -> UpstreamConnection:
+        """Remove and return an idle connection.
+
+        It is the most recently used one whose reuse delay has passed; if none has, the longest idle one.
+        """
+        cutoff = time.monotonic() - REUSE_DELAY_SECONDS
         newest_first = reversed(range(len(self.idle_connections)))
         index = next(
-            (index for index in newest_first if self.idle_connections[index].idle_since <= latest), 0
+            (index for index in newest_first if self.idle_connections[index].idle_since <= cutoff), 0
         )
         connection = self.idle_connections[index]
         del self.idle_connections[index]
         return connection
 
-    def reuse(self, connection: UpstreamConnection, attempt: Attempt) -> None:
-        """Carry an attempt that has waited for the reuse delay, unless it was abandoned in the meantime."""
-        is_wanted = self.stop_waiting(attempt)
+    def finish_reuse_delay(self, connection: UpstreamConnection, attempt: Attempt) -> None:
+        """Send an attempt that has waited for the reuse delay, unless it has been abandoned."""
+        was_waiting = self.remove_waiting_attempt(attempt)
         if not connection.is_usable():
             connection.abort()
-            if is_wanted:
-                self.start(attempt)
-        elif is_wanted:
-            connection.carry(attempt)
+            if was_waiting:
+                self.send(attempt)
+        elif was_waiting:
+            connection.send(attempt)
         else:
-            self.put_back(connection)
+            self.return_connection(connection)
 
     async def connect(self, attempt: Attempt) -> None:
-        """Open a connection for an attempt, and keep it if the attempt was abandoned in the meantime."""
+        """Open a connection and send an attempt on it; pool the connection if the attempt was abandoned."""
         try:
             async with asyncio.timeout(self.owner.connect_timeout):
                 _, connection = await self.loop.create_connection(
@@ -135,44 +140,45 @@
                 attempt.fail(Outcome.CONNECT_FAILED)
             return
         finally:
-            self.connecting -= 1
-            is_wanted = self.stop_waiting(attempt)
+            self.connecting_count -= 1
+            was_waiting = self.remove_waiting_attempt(attempt)
         self.connections.add(connection)
         if not connection.is_open:
-            self.discard(connection)
-            if is_wanted:
+            self.remove_connection(connection)
+            if was_waiting:
                 attempt.fail(Outcome.CONNECT_FAILED)
-        elif is_wanted:
-            connection.carry(attempt)
+        elif was_waiting:
+            connection.send(attempt)
         else:
-            self.put_back(connection)
+            self.return_connection(connection)
 
-    def stop_waiting(self, attempt: Attempt) -> bool:
-        """End an attempt's wait for a connection; return whether it is still to be carried."""
-        is_wanted = attempt in self.waiting_attempts and not attempt.is_finished
+    def remove_waiting_attempt(self, attempt: Attempt) -> bool:
+        """Remove an attempt from the waiting ones; return whether it was among them and has not finished."""
+        was_waiting = attempt in self.waiting_attempts and not attempt.is_finished
         self.waiting_attempts.discard(attempt)
-        return is_wanted
+        return was_waiting
 
     def cancel_waiting_attempts(self) -> None:
-        """Fail the attempts that wait for a connection, as nothing new is to go to this endpoint.
+        """Fail the attempts that wait for a connection, because the endpoint must get no new requests.
 
-        They never ran.  They finish only after this call returns, once the policy knows why.
+        They fail with NOT_STARTED after this method returns, when the policy has handled the update of the
+        endpoint that is the reason.
         """
-        waiting = self.waiting_attempts
+        waiting_attempts = self.waiting_attempts
         self.waiting_attempts = set()
-        for attempt in waiting:
+        for attempt in waiting_attempts:
             self.loop.call_soon(attempt.fail, Outcome.NOT_STARTED)
 
-    def put_back(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next attempt, unless the endpoint has moved or is gone."""
+    def return_connection(self, connection: UpstreamConnection) -> None:
+        """Make a connection available to the next attempt, or close it if the pool has been removed."""
         if self.is_removed:
             connection.abort()
             return
         connection.mark_idle()
         self.idle_connections.append(connection)
 
-    def discard(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+    def remove_connection(self, connection: UpstreamConnection) -> None:
+        """Remove a closed connection from the pool."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.owner.release_connection()
@@ -180,26 +186,26 @@
             self.idle_connections.remove(connection)
 
     def remove(self) -> None:
-        """Keep no connection from now on; the attempts that were written run on."""
+        """Close idle connections now and the others after their attempts; fail waiting attempts."""
         self.is_removed = True
         self.close_idle_connections()
         self.cancel_waiting_attempts()
 
     def close_idle_connections(self) -> None:
         """Close all idle connections."""
-        idle = self.idle_connections
+        idle_connections = self.idle_connections
         self.idle_connections = deque()
-        for connection in idle:
+        for connection in idle_connections:
             connection.abort()
 
-    def close_oldest_idle(self) -> None:
-        """Close the connection that has been idle longest."""
+    def close_longest_idle(self) -> None:
+        """Close the longest idle connection."""
         self.idle_connections.popleft().abort()
 
-    def close_idle_before(self, time_limit: float) -> None:
-        """Close the connections that have been idle since before a time limit, in monotonic seconds."""
-        while self.idle_connections and self.idle_connections[0].idle_since < time_limit:
-            self.close_oldest_idle()
+    def close_idle_before(self, cutoff: float) -> None:
+        """Close the connections that became idle before a `time.monotonic` value."""
+        while self.idle_connections and self.idle_connections[0].idle_since < cutoff:
+            self.close_longest_idle()
 
     def close(self) -> None:
         """Close all connections."""
--- a/gateway/upstream/errors.py
+++ b/gateway/upstream/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the connections to endpoints."""
+"""Exceptions of the connections to endpoints."""
 
 from __future__ import annotations
 
 
 class UpstreamError(Exception):
-    """Base of all errors raised in this package."""
+    """Base class of all exceptions that this package defines."""
 
 
 class MalformedResponseError(UpstreamError):
-    """The bytes from an endpoint are not a valid HTTP/1.1 response, or exceed a size limit."""
+    """An endpoint sent an invalid HTTP/1.1 response, or one that exceeds a size limit."""
--- a/gateway/upstream/load_report.py
+++ b/gateway/upstream/load_report.py
@@ -1,24 +1,26 @@
-"""Parsing of load reports, which endpoints send in a response header or in the body of a probe."""
+"""Parser for load reports, which endpoints send in a response header or in the response to a probe."""
 
 from __future__ import annotations
 
 import re
 
-FORMAT_PREFIX = "TEXT"  # of a load report, which may lack it
-NUMBER = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)  # `float` alone would accept "nan", "1_0" and "1e9"
+FORMAT_PREFIX = "TEXT"  # optional prefix of a load report
+NUMBER = re.compile(
+    r"\d{1,15}(\.\d{1,15})?", re.ASCII
+)  # stricter than `float`, which accepts "nan", "1_0" and "1e9"
 
 
 class LoadReportParser:
-    """Parses load reports; `columns` are the names of their numbers in the order of the settings."""
+    """Parses load reports; `columns` are the names of the values, in the order of the settings."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
         self.columns = columns
 
     def parse(self, text: bytes) -> tuple[float, ...]:
-        """Return the number of each column.
+        """Return the value of each column, or an empty tuple if the report is malformed or lacks a column.
 
-        A report that is malformed or lacks a column gives an empty tuple: it is optional, and must not fail
-        the response that carries it.
+        A malformed report is not an error, because load reports are optional and must not fail the response
+        that they arrive with.
         """
         if not text:
             return ()
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""Parses the responses of endpoints: framing, size limits, and the headers that are used; does no I/O."""
+"""Parser for the responses of endpoints: framing, size limits and the headers in use; does no I/O."""
 
 from __future__ import annotations
 
@@ -9,31 +9,32 @@
 from gateway.policy.events import Outcome
 from gateway.upstream.errors import MalformedResponseError
 
-MAX_BODY_BYTES = 64 * 1024  # by the protocol
-MAX_HEADER_BYTES = 16 * 1024  # including those of interim responses
-MAX_RESPONSE_BYTES = 8 * MAX_BODY_BYTES  # as sent: a chunked body may come in chunks of one byte
-FIRST_FINAL_STATUS = 200  # lower ones are those of interim responses, which a final one follows
+MAX_BODY_BYTES = 64 * 1024  # set by the protocol
+MAX_HEADER_BYTES = 16 * 1024  # includes the headers of interim responses
+MAX_RESPONSE_BYTES = 8 * MAX_BODY_BYTES  # on the wire, where a chunked body may consist of one-byte chunks
+FIRST_FINAL_STATUS = 200  # lower status codes are those of interim responses
 OK_STATUS = 200
-NOT_STARTED_STATUSES = (503, 504)  # of responses that may say Not-Started
+NOT_STARTED_STATUSES = (503, 504)  # status codes for which the Not-Started header is evaluated
 
-# Names of the headers that are used, in lower case, each as the attribute of the parser that it becomes.
-LOAD_REPORT = b"server-load"
-NOT_STARTED = b"not-started"
-NOT_STARTED_TRUE = b"1"  # the value if the request has not run
-CONTENT_TYPE = b"content-type"
-CONTENT_LENGTH = b"content-length"
-TRANSFER_ENCODING = b"transfer-encoding"
+# Names of the headers in use, in lower case.
+SERVER_LOAD_HEADER = b"server-load"
+NOT_STARTED_HEADER = b"not-started"
+CONTENT_TYPE_HEADER = b"content-type"
+CONTENT_LENGTH_HEADER = b"content-length"
+TRANSFER_ENCODING_HEADER = b"transfer-encoding"
+
+NOT_STARTED_TRUE = b"1"  # value of Not-Started if the endpoint has not executed the request
 
 
 class ResponseState(enum.Enum):
-    """How much of the final response has come."""
+    """The parts of the final response that have been received."""
 
-    HEADERS = enum.auto()  # not all of its headers; interim responses may precede them
-    BODY = enum.auto()  # all of its headers, not all of its body
+    HEADERS = enum.auto()  # its headers are incomplete; interim responses may precede them
+    BODY = enum.auto()  # its headers are complete and its body is incomplete
     COMPLETE = enum.auto()
 
 
-# Looked up once: access to a member through its class takes a Python call in Python 3.11.
+# Module-level aliases, because looking up an enum member on its class costs a Python call in Python 3.11.
 HEADERS = ResponseState.HEADERS
 BODY = ResponseState.BODY
 COMPLETE = ResponseState.COMPLETE
@@ -42,15 +43,15 @@
 class ResponseParser:
     """Parses the responses on one connection, one at a time.
 
-    `reset` prepares the parser for the next response.  The HTTP parser calls the methods named `on_...`.
+    Call `reset` before each further response.  httptools calls the methods named `on_...`.
 
     Attributes:
-        state: How much of the response has come; the attributes below hold once it is COMPLETE.
-        is_reusable: Whether the connection can carry another request.
-        outcome: What the response means to the policy.
-        body: The body of the response.
-        content_type: The value of Content-Type; empty without one.
-        load_report: The value of Server-Load; empty without one.
+        state: The progress of the response; the attributes below are valid when it is COMPLETE.
+        is_reusable: Whether the connection can be used for another request.
+        outcome: The outcome that is reported to the policy.
+        body: The response body.
+        content_type: The value of the Content-Type header; empty if the response has none.
+        load_report: The value of the Server-Load header; empty if the response has none.
     """
 
     __slots__ = (
@@ -60,7 +61,7 @@
         "bytes_read",
         "content_length",
         "content_type",
-        "has_framing",
+        "is_close_delimited",
         "is_reusable",
         "load_report",
         "not_started",
@@ -75,20 +76,20 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget the last response."""
-        self.bytes_read = 0  # since the last final response, including interim responses
+        """Discard the last response and prepare for the next."""
+        self.bytes_read = 0  # bytes of this response, including its interim responses
         self.is_reusable = False
         self.body = b""
-        self.start_message()
+        self.reset_message()
 
-    def start_message(self) -> None:
-        """Expect the first byte of an interim or final response."""
+    def reset_message(self) -> None:
+        """Prepare for the next message, which is an interim or a final response."""
         self.state = HEADERS
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.content_length = 0
         self.not_started = False
-        self.has_framing = False  # whether it ends by itself, not only with the connection
+        self.is_close_delimited = True  # whether only the close of the connection ends the body
         self.load_report = b""
         self.content_type = b""
 
@@ -98,12 +99,12 @@
         return self.state is COMPLETE
 
     def feed(self, data: bytes) -> None:
-        """Parse the bytes that were read.
+        """Parse received bytes.
 
-        Bytes behind a complete response do not invalidate it, but the connection cannot be used again.
+        Bytes after a complete response do not invalidate it, but the connection cannot be reused.
 
         Raises:
-            MalformedResponseError: The response is invalid or too large.  The parser cannot be used further.
+            MalformedResponseError: The response is invalid or too large.  The parser cannot be used any more.
         """
         self.bytes_read += len(data)
         try:
@@ -117,64 +118,68 @@
                 self.check_size()
 
     def feed_eof(self) -> None:
-        """Complete a response that has no framing, as the endpoint has stopped sending."""
-        if self.state is BODY and not self.has_framing:
+        """Complete a close-delimited response, because the endpoint has closed the connection."""
+        if self.state is BODY and self.is_close_delimited:
             self.on_message_complete()
 
     def check_size(self) -> None:
-        """Check that an incomplete response is within the limits.
+        """Check the size of an incomplete response.
 
         Raises:
-            MalformedResponseError: It is not.
+            MalformedResponseError: The response exceeds the limit.
         """
         limit = MAX_HEADER_BYTES if self.state is HEADERS else MAX_RESPONSE_BYTES
         if self.bytes_read > limit:
-            raise MalformedResponseError(f"incomplete after {self.bytes_read} bytes, of {limit} allowed")
+            raise MalformedResponseError(
+                f"response is incomplete after {self.bytes_read} bytes; the limit is {limit}"
+            )
 
     def on_message_begin(self) -> None:
         """Reject a second response to one request."""
         if self.state is COMPLETE:
-            raise MalformedResponseError("bytes behind the response")
+            raise MalformedResponseError("unexpected bytes after the response")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the headers that are used."""
+        """Store the headers in use."""
         name = name.lower()
-        if name == LOAD_REPORT:
+        if name == SERVER_LOAD_HEADER:
             self.load_report = value
-        elif name == NOT_STARTED:
+        elif name == NOT_STARTED_HEADER:
             self.not_started = value == NOT_STARTED_TRUE
-        elif name == CONTENT_TYPE:
+        elif name == CONTENT_TYPE_HEADER:
             self.content_type = value
-        elif name == CONTENT_LENGTH:
-            self.has_framing = True
-            self.content_length = int(value)  # the HTTP parser accepts digits only
-        elif name == TRANSFER_ENCODING:
-            self.has_framing = True
+        elif name == CONTENT_LENGTH_HEADER:
+            self.is_close_delimited = False
+            self.content_length = int(value)  # httptools has checked that it consists of digits
+        elif name == TRANSFER_ENCODING_HEADER:
+            self.is_close_delimited = False
 
     def on_headers_complete(self) -> None:
-        """Check the announced length before any of the body is read."""
+        """Check Content-Length before the body is read."""
         if self.parser.get_status_code() >= FIRST_FINAL_STATUS:
             self.state = BODY
         if self.content_length > MAX_BODY_BYTES:
-            raise MalformedResponseError(f"Content-Length {self.content_length} exceeds {MAX_BODY_BYTES}")
+            raise MalformedResponseError(
+                f"Content-Length {self.content_length} exceeds the limit of {MAX_BODY_BYTES} bytes"
+            )
 
     def on_body(self, data: bytes) -> None:
-        """Collect the body up to its limit."""
+        """Store a part of the body and check the size of the body."""
         self.body_bytes += len(data)
         if self.body_bytes > MAX_BODY_BYTES:
-            raise MalformedResponseError(f"the body exceeds {MAX_BODY_BYTES} bytes")
+            raise MalformedResponseError(f"body exceeds the limit of {MAX_BODY_BYTES} bytes")
         self.body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Finish a final response; an interim one is forgotten."""
+        """Complete a final response, or discard an interim response."""
         status = self.parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
-            self.start_message()
+            self.reset_message()
             return
         self.outcome = self._outcome_of(status)
         self.body = b"".join(self.body_parts)
         self.state = COMPLETE
-        self.is_reusable = self.has_framing and self.parser.should_keep_alive()
+        self.is_reusable = not self.is_close_delimited and self.parser.should_keep_alive()
 
     def _outcome_of(self, status: int) -> Outcome:
         if status == OK_STATUS:
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -29,12 +29,12 @@
     return Attempt(b"request", results.append)
 
 
-def test_an_attempt_gives_its_payload_to_its_connection(attempt: Attempt) -> None:
+def test_an_attempt_passes_its_request_to_its_connection(attempt: Attempt) -> None:
     connection = FakeConnection()
-    assert attempt.bind(connection) == b"request"
+    assert attempt.assign_connection(connection) == b"request"
     assert attempt.state is AttemptState.WRITTEN
     assert attempt.connection is connection
-    assert attempt.payload == b""
+    assert attempt.request == b""
 
 
 def test_an_attempt_finishes_once(attempt: Attempt, results: list[AttemptResult]) -> None:
@@ -65,7 +65,7 @@
     attempt: Attempt, results: list[AttemptResult]
 ) -> None:
     connection = FakeConnection()
-    attempt.bind(connection)
+    attempt.assign_connection(connection)
     attempt.abandon(Outcome.TIMEOUT)
     attempt.abandon(Outcome.CANCELLED)
     assert attempt.state is AttemptState.ABANDONED
@@ -89,7 +89,7 @@
 def test_the_outcome_of_a_lost_connection(
     attempt: Attempt, *, reason: Outcome | None, has_unsent_bytes: bool, outcome: Outcome
 ) -> None:
-    attempt.bind(FakeConnection(has_unsent_bytes=has_unsent_bytes))
+    attempt.assign_connection(FakeConnection(has_unsent_bytes=has_unsent_bytes))
     if reason is not None:
         attempt.abandon(reason)
     assert attempt.outcome_of_lost_connection() is outcome
