--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes and settings that the tests share."""
+"""Fakes, settings and helpers that several test modules use."""
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""A fake endpoint."""
+"""A fake endpoint: an HTTP server with scripted responses."""
 
 from __future__ import annotations
 
@@ -12,36 +12,41 @@
     import asyncio
     from collections.abc import Callable
 
-CLOSED_WITHOUT_RESPONSE = b""
+CLOSED_WITHOUT_RESPONSE = b""  # makes the endpoint close the connection without a response
 
 
 def respond_with(body: bytes) -> Callable[[Message], bytes]:
-    """Return an `answer` that responds to each request with a body."""
+    """Return a `respond` function that responds to each request with a body."""
     return lambda _: http_response(body=body)
 
 
 def respond_done(_message: Message) -> bytes:
-    """Respond with the body "done"."""
+    """Return a response with the body "done"."""
     return http_response(body=b"done")
 
 
 def send_no_response(_message: Message) -> None:
-    """Respond to no request."""
+    """Leave the request without a response."""
 
 
 @dataclass
 class FakeEndpoint(FakeServer):
-    """Answers each request with what `answer` makes of it; None keeps silent."""
+    """Sends the response that `respond` returns for each request; with None it sends no response.
 
-    answer: Callable[[Message], bytes | None] = respond_done
+    Attributes:
+        respond: Returns the response to a request.
+        requests: All requests that have been received.
+    """
+
+    respond: Callable[[Message], bytes | None] = respond_done
     requests: list[Message] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer requests until a response announces the close."""
+        """Respond to requests until a response announces or requires that the connection is closed."""
         while True:
             message = await read_message(reader)
             self.requests.append(message)
-            response = self.answer(message)
+            response = self.respond(message)
             if response is not None:
                 writer.write(response)
                 if b"Connection: close" in response or response == CLOSED_WITHOUT_RESPONSE:
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -1,4 +1,4 @@
-"""What the fakes of an endpoint, the counter and the discovery agent share: a server on a loopback socket."""
+"""Base of the fake endpoint, counter and discovery agent: a server on a loopback socket."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @contextlib.asynccontextmanager
 async def listening(handler: Handler) -> AsyncIterator[str]:
-    """Serve connections with a handler; the value is the address."""
+    """Serve connections with a handler while the context is open; yields the address."""
     tasks: set[asyncio.Task[Any]] = set()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -42,13 +42,18 @@
 
 @dataclass
 class FakeServer:
-    """Serves connections by its `serve`, and counts them."""
+    """Serves each connection with the method `serve` of a subclass, and counts connections.
+
+    Attributes:
+        accepted_connections: Number of connections accepted so far.
+        open_connections: Number of connections that are being served.
+    """
 
     accepted_connections: int = field(default=0, init=False)
     open_connections: int = field(default=0, init=False)
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Count a connection and serve it."""
+        """Count and serve a connection."""
         self.accepted_connections += 1
         self.open_connections += 1
         try:
@@ -62,7 +67,7 @@
 
 
 async def server_address(stack: contextlib.AsyncExitStack, server: FakeServer | Handler | str) -> str:
-    """Return the address of a server, which runs until the stack is closed if it is not an address itself."""
+    """Return the address of a server; unless it is an address already, start it until the stack is closed."""
     if isinstance(server, str):
         return server
     handler = server.handle if isinstance(server, FakeServer) else server
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -1,4 +1,4 @@
-"""What the tests of connections to endpoints share: responses, a policy, and two clients of one gateway."""
+"""Helpers for tests of upstream connections: responses, a scripted policy and a gateway with two clients."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def echo_request_id(message: Message) -> bytes:
-    """Respond with the request's id as body."""
+    """Return a response whose body is the Request-Id of the request."""
     return http_response(body=message.headers["request-id"].encode())
 
 
-def one_at_a_time() -> Callable[[Any], list[Action]]:
-    """Return a policy that starts the next attempt once the last one has finished."""
+def one_attempt_at_a_time() -> Callable[[Any], list[Action]]:
+    """Return a policy script that starts each attempt when the attempt before it has finished."""
     waiting: list[int] = []
 
     def react(event: Any) -> list[Action]:
@@ -34,8 +34,8 @@
             return [StartAttempt(event.request_id, FIRST, 0.0)] if len(waiting) == 1 else []
         if isinstance(event, AttemptFinished):
             waiting.pop(0)
-            following: list[Action] = [StartAttempt(waiting[0], FIRST, 0.0)] if waiting else []
-            return following if event.outcome is Outcome.OK else [Fail(event.request_id), *following]
+            next_start: list[Action] = [StartAttempt(waiting[0], FIRST, 0.0)] if waiting else []
+            return next_start if event.outcome is Outcome.OK else [Fail(event.request_id), *next_start]
         return []
 
     return react
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True)
 class TwoClients:
-    """Two clients of a gateway that has one attempt in flight at a time, and its scripted policy."""
+    """Two clients of a gateway that runs one attempt at a time, and the gateway's scripted policy."""
 
     policy: ScriptedPolicy
     first: HttpClient
     second: HttpClient
 
     async def ask_both(self) -> list[Message]:
-        """Send a request of each client, with the ids `one` and `two`, and return the responses."""
+        """Send a request from each client, with the ids `one` and `two`, and return the responses."""
         self.first.writer.write(self.first.request(Request_Id="one"))
         self.second.writer.write(self.second.request(Request_Id="two"))
         return [await read_message(self.first.reader), await read_message(self.second.reader)]
@@ -58,9 +58,9 @@
 
 @contextlib.asynccontextmanager
 async def two_clients(endpoint: FakeServer | Handler) -> AsyncIterator[TwoClients]:
-    """Run a gateway with two clients and one endpoint."""
+    """Run a gateway with one endpoint and two connected clients."""
     async with (
-        running_gateway(endpoint, react=one_at_a_time()) as (gateway, policy),
+        running_gateway(endpoint, react=one_attempt_at_a_time()) as (gateway, policy),
         HttpClient(gateway.listener) as first,
         HttpClient(gateway.listener) as second,
     ):
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""The states of an attempt, and the outcome with which it ends in each."""
+"""Tests of the states of an attempt and of its outcome in each state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FakeConnection:
-    """Stands in for the connection that carries an attempt."""
+    """Replaces the connection that an attempt is assigned to."""
 
     def __init__(self, *, has_unsent_bytes: bool = False) -> None:
         self.has_unsent_bytes = has_unsent_bytes
@@ -52,7 +52,7 @@
         pytest.param(Outcome.TIMEOUT, Outcome.CONNECT_FAILED, id="timeout"),
     ],
 )
-def test_an_attempt_that_is_abandoned_before_it_is_written_never_ran(
+def test_an_attempt_abandoned_before_it_is_written_counts_as_not_executed(
     attempt: Attempt, results: list[AttemptResult], reason: Outcome, outcome: Outcome
 ) -> None:
     attempt.abandon(reason)
@@ -60,8 +60,8 @@
     assert outcome.never_ran
 
 
-# Guards against a retry beside an attempt that may still run.
-def test_an_attempt_that_is_abandoned_after_it_is_written_waits_for_its_connection(
+# Guards against a retry that runs concurrently with an abandoned attempt.
+def test_an_attempt_abandoned_after_it_is_written_finishes_when_its_connection_closes(
     attempt: Attempt, results: list[AttemptResult]
 ) -> None:
     connection = FakeConnection()
@@ -78,15 +78,15 @@
     ("reason", "has_unsent_bytes", "outcome"),
     [
         pytest.param(None, False, Outcome.RESET, id="lost"),
-        pytest.param(None, True, Outcome.CONNECT_FAILED, id="lost, incomplete"),
+        pytest.param(None, True, Outcome.CONNECT_FAILED, id="lost, request incomplete"),
         pytest.param(Outcome.CANCELLED, False, Outcome.CANCELLED, id="cancelled"),
-        pytest.param(Outcome.CANCELLED, True, Outcome.NOT_STARTED, id="cancelled, incomplete"),
+        pytest.param(Outcome.CANCELLED, True, Outcome.NOT_STARTED, id="cancelled, request incomplete"),
         pytest.param(Outcome.TIMEOUT, False, Outcome.TIMEOUT, id="timeout"),
-        pytest.param(Outcome.TIMEOUT, True, Outcome.TIMEOUT, id="timeout, incomplete"),
+        pytest.param(Outcome.TIMEOUT, True, Outcome.TIMEOUT, id="timeout, request incomplete"),
         pytest.param(Outcome.ERROR, False, Outcome.ERROR, id="error"),
     ],
 )
-def test_the_outcome_of_a_lost_connection(
+def test_the_outcome_when_the_connection_is_lost(
     attempt: Attempt, *, reason: Outcome | None, has_unsent_bytes: bool, outcome: Outcome
 ) -> None:
     attempt.assign_connection(FakeConnection(has_unsent_bytes=has_unsent_bytes))
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -1,4 +1,4 @@
-"""How the endpoints that discovery names are told apart, over loopback sockets."""
+"""Tests of the assignment of connections to endpoints, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 NEW_ENDPOINT_ID = 9
 
 
-# Guards against sending attempts on an old endpoint to a new one that listens at its address: the new one is
-# warming up, and the responses that it keeps for idempotency keys are its own.
+# Guards against sending attempts for a removed endpoint to a new endpoint that listens on the same address:
+# the new endpoint is warming up and does not have the other's stored responses for idempotency keys.
 @async_test
-async def test_a_new_endpoint_at_an_old_address_does_not_get_the_old_ones_attempts() -> None:
+async def test_attempts_for_a_removed_endpoint_do_not_reach_a_new_endpoint_at_its_address() -> None:
     endpoint = FakeEndpoint(echo_request_id)
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.ask()).status == 200
         upstream = gateway.process.driver.upstream
         upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST].address, 0.0)
         await until(lambda: not endpoint.open_connections)
-        assert (await gateway.client.ask()).status == 502  # still meant for the old one
+        assert (await gateway.client.ask()).status == 502  # the policy still selects the removed endpoint
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
         assert len(endpoint.requests) == 1
         assert list(upstream.pools) == [NEW_ENDPOINT_ID]
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""What endpoints send that is malformed, or more than the response, over loopback sockets."""
+"""Tests of malformed responses and of bytes after a response, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
     from tests.support.fake_server import Handler
 
 
-# Guards against forwarding bytes behind a response as the response to the next request: that one starts as
-# soon as the first has finished, on a connection that still brings a second copy or noise.
+# Guards against forwarding bytes that follow a response as the response to the next request, which starts as
+# soon as the first request has finished.
 @pytest.mark.parametrize(
-    "behind",
+    "extra_bytes",
     [
-        pytest.param(http_response(body=b"a second copy"), id="second copy"),
-        pytest.param(b"\x00\x01 noise", id="noise"),
+        pytest.param(http_response(body=b"a second copy"), id="duplicate response"),
+        pytest.param(b"\x00\x01 noise", id="garbage"),
         pytest.param(b"HTTP/1.1 2", id="part of a response"),
     ],
 )
 @async_test
-async def test_bytes_behind_a_response_are_not_the_next_response(behind: bytes) -> None:
-    endpoint = FakeEndpoint(lambda message: echo_request_id(message) + behind)
+async def test_bytes_after_a_response_are_not_used_as_the_next_response(extra_bytes: bytes) -> None:
+    endpoint = FakeEndpoint(lambda message: echo_request_id(message) + extra_bytes)
     async with two_clients(endpoint) as clients:
         responses = await clients.ask_both()
         assert [response.status for response in responses] == [200, 200]
         assert [response.body for response in responses] == [b"one", b"two"]
         assert clients.policy.outcomes() == [Outcome.OK, Outcome.OK]
-        assert endpoint.accepted_connections == 2  # such a connection is of no further use
+        assert endpoint.accepted_connections == 2  # the first connection must not be reused
 
 
-# Guards against the same where the bytes come while the connection is idle, and the loop has not read them
-# when the next attempt needs a connection.
+# Guards against the same failure if the bytes arrive while the connection is idle, and the event loop has not
+# read them when the next attempt needs a connection.
 @async_test
-async def test_an_idle_connection_with_bytes_to_read_carries_no_attempt() -> None:
+async def test_an_idle_connection_with_unread_bytes_is_not_used() -> None:
     writers: list[asyncio.StreamWriter] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -60,12 +60,12 @@
         upstream = gateway.process.driver.upstream
         (connection,) = upstream.pools[FIRST].idle_connections
         assert connection.is_usable()
-        # No step of the loop lies between these: the bytes are in the socket, not yet read.
+        # The event loop does not run between these lines, so the bytes stay unread in the socket.
         writers[0].write(http_response(body=b"a late second copy"))
         assert not connection.is_usable()
         results: list[Any] = []
-        payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-        upstream.start_attempt(FIRST, payload, 1.0, results.append)
+        request = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
+        upstream.start_attempt(FIRST, request, 1.0, results.append)
         await until(lambda: results)
         assert results[0].body == b"two"
 
@@ -73,14 +73,14 @@
 @pytest.mark.parametrize(
     "malformed",
     [
-        pytest.param(b"\x16\x03\x01 noise\r\n\r\n", id="noise"),
+        pytest.param(b"\x16\x03\x01 noise\r\n\r\n", id="garbage"),
         pytest.param(
-            b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", id="two lengths"
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", id="conflicting lengths"
         ),
         pytest.param(b"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc", id="negative length"),
         pytest.param(
             b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
-            id="length and chunks",
+            id="length and chunked encoding",
         ),
         pytest.param(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", id="large length"),
         pytest.param(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: and so on\r\n" * 2000, id="endless headers"),
@@ -98,36 +98,36 @@
     ],
 )
 @async_test
-async def test_a_malformed_response_ends_its_attempt_at_once_and_may_have_run(malformed: bytes) -> None:
+async def test_a_malformed_response_fails_its_attempt_at_once_with_error(malformed: bytes) -> None:
     endpoint = FakeEndpoint(lambda _message: malformed)
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.ask()).status == 502
-        # Not RESET, for which the policy avoids an endpoint: one that sends malformed responses is up.
+        # Not RESET, which makes the policy avoid the endpoint: one that sends malformed responses is up.
         assert gateway.policy.outcomes() == [Outcome.ERROR]
-        assert not Outcome.ERROR.never_ran
+        assert not Outcome.ERROR.never_ran  # the endpoint may have executed the request
         (finished,) = gateway.policy.of(AttemptFinished)
-        assert finished.elapsed < 2  # it does not hang until the client's time is nearly up
+        assert finished.elapsed < 2  # does not wait for the timeout
         await until(lambda: not endpoint.open_connections)
 
 
 class ResponseEnd(enum.Enum):
-    """How a response without framing ends."""
+    """How an endpoint ends its response."""
 
     CLOSE = enum.auto()
     RESET = enum.auto()
     CLOSE_WITHIN_HEADERS = enum.auto()
-    CLOSE_WITHIN_LENGTH = enum.auto()
+    CLOSE_WITHIN_LENGTH = enum.auto()  # before the number of bytes in Content-Length
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Close a connection such that its peer gets a reset."""
+    """Close a connection with a TCP reset."""
     linger_without_waiting = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_without_waiting)
     writer.transport.abort()
 
 
-def endpoint_that_ends_by(end: ResponseEnd) -> Handler:
-    """Return a handler that responds with `something`, as far as its end allows."""
+def endpoint_with_response_end(end: ResponseEnd) -> Handler:
+    """Return a connection handler that responds with `something` and ends the response in the given way."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -148,10 +148,10 @@
     return handle
 
 
-# Guards against a retry after a complete response that has no framing, as it ends with its connection.
+# Guards against treating the close that ends a close-delimited response as a lost connection, and retrying.
 @async_test
-async def test_a_response_without_framing_ends_with_its_connection() -> None:
-    async with gateway_with_client(endpoint_that_ends_by(ResponseEnd.CLOSE)) as gateway:
+async def test_a_close_delimited_response_is_complete_when_the_connection_closes() -> None:
+    async with gateway_with_client(endpoint_with_response_end(ResponseEnd.CLOSE)) as gateway:
         response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
         assert response.status == 200
         assert response.body == b"something"
@@ -159,7 +159,7 @@
         assert not gateway.process.driver.upstream.pools[FIRST].idle_connections
 
 
-# Guards against taking part of a response for all of it: a reset does not end it.
+# Guards against forwarding an incomplete response: a reset does not complete a close-delimited response.
 @pytest.mark.parametrize(
     "end",
     [
@@ -169,8 +169,8 @@
     ],
 )
 @async_test
-async def test_a_response_without_framing_does_not_end_by_a_reset_or_in_its_middle(end: ResponseEnd) -> None:
-    async with gateway_with_client(endpoint_that_ends_by(end)) as gateway:
+async def test_a_reset_or_an_early_close_does_not_complete_a_response(end: ResponseEnd) -> None:
+    async with gateway_with_client(endpoint_with_response_end(end)) as gateway:
         response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
         assert response.status == 502
         assert response.body == b""
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""When a connection is used again, and which attempts still get it, over loopback sockets."""
+"""Tests of the reuse of connections and its delay, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DuplicatingEndpoint:
-    """An endpoint that sends a second copy of its first response a moment after `may_duplicate` is set."""
+    """An endpoint that sends its first response again 5 ms after `may_duplicate` is set."""
 
     def __init__(self) -> None:
         self.may_duplicate = asyncio.Event()
@@ -37,15 +37,19 @@
                 writer.write(echo_request_id(message))
 
 
-# Guards against forwarding a second copy of a response that comes some milliseconds late, when the next
-# request could be in flight on its connection: for that time the connection is not used again.
+# Guards against forwarding a duplicate response that arrives some milliseconds after the first: without the
+# reuse delay the next request could already be in progress on the connection.
 @async_test
-async def test_a_late_second_copy_is_not_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_late_duplicate_response_is_not_used_as_the_next_response(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1.0)
     endpoint = DuplicatingEndpoint()
     async with two_clients(endpoint.handle) as clients, asyncio.TaskGroup() as group:
         responses_of_both = group.create_task(clients.ask_both())
-        await until(clients.policy.outcomes)  # the next request is forwarded with this event
+        await until(
+            clients.policy.outcomes
+        )  # the policy starts the second attempt when the first has finished
         endpoint.may_duplicate.set()
         responses = await responses_of_both
         assert [response.status for response in responses] == [200, 200]
@@ -54,10 +58,10 @@
         assert endpoint.request_ids == ["one", "two"]
 
 
-# Guards against an attempt that is sent for a client that left during the reuse delay, and against losing the
-# connection that it waited for.
+# Guards against sending an attempt whose client disconnected during the reuse delay, and against losing the
+# connection that the attempt waited for.
 @async_test
-async def test_an_attempt_that_waits_for_the_reuse_delay_is_not_sent_once_its_client_has_left(
+async def test_an_attempt_whose_client_disconnects_during_the_reuse_delay_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -1,4 +1,4 @@
-"""Which load reports can be read, and that the others do not spoil the response that carries them."""
+"""Tests of parsing load reports, and of responses with a malformed load report."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     from tests.support.http_messages import Message
 
 MALFORMED = [
-    pytest.param("TEXT util=none", id="word"),
+    pytest.param("TEXT util=none", id="word as value"),
     pytest.param("TEXT queue=1_0, util=0.5, latency_ms=3", id="number with underscore"),
-    pytest.param("=,=,", id="separators"),
-    pytest.param("TEXT \xff\xfe", id="bytes that are no text"),
+    pytest.param("=,=,", id="only separators"),
+    pytest.param("TEXT \xff\xfe", id="bytes outside ASCII"),
     pytest.param("nan", id="nan"),
 ]
 EARLY_RESPONSES = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
@@ -36,13 +36,11 @@
         pytest.param(b"TEXT latency_ms=3.25, util=0.5, queue=4", id="in order"),
         pytest.param(b"queue=4,util=0.5,latency_ms=3.25", id="another order, no prefix"),
         pytest.param(
-            b"TEXT util = 0.5 , queue= 4, other=9, latency_ms=3.25, mark", id="blanks and other fields"
+            b"TEXT util = 0.5 , queue= 4, other=9, latency_ms=3.25, mark", id="spaces and unknown fields"
         ),
     ],
 )
-def test_a_report_gives_the_columns_in_the_order_of_the_settings(
-    parser: LoadReportParser, text: bytes
-) -> None:
+def test_values_are_returned_in_the_order_of_the_settings(parser: LoadReportParser, text: bytes) -> None:
     assert parser.parse(text) == (3.25, 0.5, 4.0)
 
 
@@ -55,13 +53,15 @@
         *MALFORMED,
     ],
 )
-def test_a_report_that_is_malformed_or_lacks_a_column_is_empty(parser: LoadReportParser, text: str) -> None:
+def test_a_report_that_is_malformed_or_lacks_a_column_yields_no_values(
+    parser: LoadReportParser, text: str
+) -> None:
     assert parser.parse(text.encode("latin-1")) == ()
 
 
 @pytest.mark.parametrize("load", MALFORMED)
 @async_test
-async def test_a_malformed_report_does_not_spoil_the_response(load: str) -> None:
+async def test_a_malformed_report_does_not_fail_its_response(load: str) -> None:
     def respond(_message: Message) -> bytes:
         head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
         return EARLY_RESPONSES + head.encode("latin-1") + b"done"
@@ -74,4 +74,4 @@
             assert response.body == b"done"
         finished = gateway.policy.of(AttemptFinished)
         assert [event.load_report for event in finished] == [(), ()]
-        assert endpoint.accepted_connections == 1  # the connection goes on being used
+        assert endpoint.accepted_connections == 1  # the connection is reused
--- a/tests/upstream/test_response_parser.py
+++ b/tests/upstream/test_response_parser.py
@@ -1,4 +1,4 @@
-"""What the bytes of a response mean, fed to the parser whole and byte by byte, without sockets."""
+"""Tests of the response parser, without sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nServer-Load: early\r\n\r\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WITHOUT_FRAMING = b"HTTP/1.1 200 OK\r\n\r\nsome"
+CLOSE_DELIMITED = b"HTTP/1.1 200 OK\r\n\r\nsome"
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000])
-def test_a_response_is_complete_with_its_last_byte(parser: ResponseParser, size: int) -> None:
+def test_a_response_is_complete_at_its_last_byte(parser: ResponseParser, size: int) -> None:
     head = b"HTTP/1.1 200 OK\r\nServer-Load: a=1\r\ncontent-type: x/y\r\nContent-Length: 4\r\n\r\n"
     data = INTERIM + head + b"done"
     for start in range(0, len(data), size):
@@ -61,7 +61,7 @@
     assert parser.outcome is outcome
 
 
-def test_reset_forgets_the_last_response(parser: ResponseParser) -> None:
+def test_reset_discards_the_last_response(parser: ResponseParser) -> None:
     parser.feed(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nServer-Load: a=1\r\nContent-Length: 1\r\n\r\nx")
     parser.reset()
     assert not parser.is_complete
@@ -72,31 +72,31 @@
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "extra_bytes",
     [
         pytest.param(OK, id="second response"),
-        pytest.param(b"\x00\x01 noise", id="noise"),
+        pytest.param(b"\x00\x01 noise", id="garbage"),
         pytest.param(b"HTTP/1.1 5", id="part of a response"),
     ],
 )
-def test_bytes_behind_a_response_do_not_spoil_it_but_its_connection(
-    parser: ResponseParser, behind: bytes
+def test_bytes_after_a_response_only_prevent_reuse_of_the_connection(
+    parser: ResponseParser, extra_bytes: bytes
 ) -> None:
-    parser.feed(OK + behind)
+    parser.feed(OK + extra_bytes)
     assert parser.is_complete
     assert not parser.is_reusable
     assert parser.outcome is Outcome.OK
     assert parser.body == b"done"
 
 
-def test_connection_close_rules_out_reuse(parser: ResponseParser) -> None:
+def test_connection_close_prevents_reuse(parser: ResponseParser) -> None:
     parser.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
     assert parser.is_complete
     assert not parser.is_reusable
 
 
-def test_the_end_of_the_connection_completes_a_response_without_framing(parser: ResponseParser) -> None:
-    parser.feed(WITHOUT_FRAMING)
+def test_the_end_of_the_stream_completes_a_close_delimited_response(parser: ResponseParser) -> None:
+    parser.feed(CLOSE_DELIMITED)
     assert not parser.is_complete
     parser.feed_eof()
     assert parser.is_complete
@@ -114,7 +114,7 @@
         pytest.param(INTERIM, id="interim responses"),
     ],
 )
-def test_the_end_of_the_connection_does_not_complete_part_of_a_response(
+def test_the_end_of_the_stream_does_not_complete_a_truncated_response(
     parser: ResponseParser, data: bytes
 ) -> None:
     parser.feed(data)
@@ -122,33 +122,33 @@
     assert not parser.is_complete
 
 
-# Guards the bounds of what one response may take; each is just over its limit.
+# Guards against unbounded memory use by one response; each large case is just over its limit.
 @pytest.mark.parametrize(
     "data",
     [
         pytest.param(b"HTTP/1.1 200 OK\r\nX-Pad: ".ljust(MAX_HEADER_BYTES + 1, b"x"), id="headers"),
         pytest.param(INTERIM * (MAX_HEADER_BYTES // len(INTERIM) + 1), id="interim responses"),
         pytest.param(
-            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), id="announced body"
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), id="Content-Length"
         ),
         pytest.param(CHUNKED + b"%x\r\n" % (MAX_BODY_BYTES + 1) + b"x" * (MAX_BODY_BYTES + 1), id="body"),
         pytest.param(
             (CHUNKED + b"0001" + b"\r\nx\r\n0001" * MAX_BODY_BYTES)[: MAX_RESPONSE_BYTES + 1], id="chunks"
         ),
-        pytest.param(b"\x16\x03\x01 noise\r\n\r\n", id="noise"),
+        pytest.param(b"\x16\x03\x01 noise\r\n\r\n", id="garbage"),
         pytest.param(
             b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + OK,
             id="upgrade",
         ),
     ],
 )
-def test_a_response_that_is_invalid_or_too_large_is_malformed(parser: ResponseParser, data: bytes) -> None:
+def test_a_response_that_is_invalid_or_too_large_is_rejected(parser: ResponseParser, data: bytes) -> None:
     with pytest.raises(MalformedResponseError) as error:
         parser.feed(data)
     assert isinstance(error.value, UpstreamError)
     assert str(error.value)
 
 
-def test_a_response_of_the_largest_size_is_taken(parser: ResponseParser) -> None:
+def test_a_response_of_the_maximum_size_is_accepted(parser: ResponseParser) -> None:
     parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MAX_BODY_BYTES + b"x" * MAX_BODY_BYTES)
     assert len(parser.body) == MAX_BODY_BYTES
