--- a/gateway/simulator/__init__.py
+++ b/gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and the adapter that hosts the policy on it."""
+"""The simulator's wire protocol, and an adapter that runs the policy in the simulator."""
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -1,6 +1,6 @@
-"""Adapter that hosts instances of the policy for the simulator.
+"""Adapter that runs instances of the policy for the simulator.
 
-It reads batches from the standard input and writes replies to the standard output.
+It reads batches of events from standard input and writes replies with actions to standard output.
 """
 
 from __future__ import annotations
@@ -11,70 +11,70 @@
 from gateway.policy.engine import Policy
 from gateway.settings_parser import parse_settings
 from gateway.simulator import batch_decoder, reply_encoder
-from gateway.simulator.wire import Batch, Configure, Crash, Fault, WireAction, WireError
+from gateway.simulator.wire import Configure, Crash, EventBatch, Fault, WireAction, WireError
 
 EXIT_MALFORMED_INPUT = 1
 
 
-def answer(instances: dict[int, Policy], batch: Batch) -> bytes:
-    """Deliver a batch's events to their instances and encode the reply.
+def handle_batch(policies: dict[int, Policy], batch: EventBatch) -> bytes:
+    """Pass the events of a batch to their policies, which are stored by instance id, and encode the reply.
 
-    An exception of an instance becomes a fault in the reply, and the instance keeps running.
+    An exception that a policy raises is reported as a fault in the reply, and the instance keeps running.
     """
     actions: dict[int, list[WireAction]] = {}
-    for instance, event in batch.records:
-        instance_actions = actions.setdefault(instance, [])
+    for instance_id, event in batch.events:
+        instance_actions = actions.setdefault(instance_id, [])
         try:
             if isinstance(event, Configure):
-                instances[instance] = Policy(parse_settings(event.settings), event.seed)
+                policies[instance_id] = Policy(parse_settings(event.settings), event.seed)
             elif isinstance(event, Crash):
-                instances.pop(instance, None)
+                policies.pop(instance_id, None)
                 instance_actions.clear()
-            elif instance in instances:
-                instance_actions.extend(instances[instance].handle(batch.now, event))
+            elif instance_id in policies:
+                instance_actions.extend(policies[instance_id].handle(batch.time, event))
         except Exception as error:  # the simulator reports every failure of the policy
             instance_actions.append(Fault(f"{type(error).__name__}: {error}"))
     return reply_encoder.encode_reply(batch.number, actions.items())
 
 
-def read_batch(source: BinaryIO) -> Batch | None:
-    """Return the next batch, or None at the end of the input.
+def read_batch(input_stream: BinaryIO) -> EventBatch | None:
+    """Read and return the next batch, or return None at the end of the input.
 
     Raises:
-        WireError: The batch is malformed, or the input ends inside it.
+        WireError: The batch is malformed or truncated.
     """
     header_size = batch_decoder.BATCH_HEADER.size
-    header = source.read(header_size)
+    header = input_stream.read(header_size)
     if not header:
         return None
     if len(header) < header_size:
-        raise WireError("the input ends inside a header")
+        raise WireError("the input ends within a batch header")
     _, length, _, _ = batch_decoder.BATCH_HEADER.unpack(header)
     body_size = length + batch_decoder.LENGTH_FIELD_END - header_size
     if body_size < 0:
-        raise WireError("the batch's length is shorter than its header")
-    body = source.read(body_size)
+        raise WireError("the length of the batch is less than its header")
+    body = input_stream.read(body_size)
     if len(body) < body_size:
-        raise WireError("the input ends inside a batch")
+        raise WireError("the input ends within a batch")
     return batch_decoder.decode_batch(header, body)
 
 
-def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the end of the input.
+def serve(input_stream: BinaryIO, output_stream: BinaryIO) -> None:
+    """Reply to batches until the end of the input.
 
     Raises:
-        WireError: A batch is malformed, or the input ends inside one.
+        WireError: A batch is malformed or truncated.
     """
-    instances: dict[int, Policy] = {}
-    while (batch := read_batch(source)) is not None:
-        sink.write(answer(instances, batch))
-        sink.flush()
+    policies: dict[int, Policy] = {}
+    while (batch := read_batch(input_stream)) is not None:
+        output_stream.write(handle_batch(policies, batch))
+        output_stream.flush()
 
 
 def main() -> int:
-    """Serve the standard input, and return the exit status.
+    """Serve standard input and output, and return the exit status.
 
-    Malformed input ends the adapter with one line on the standard error output.
+    On malformed input the adapter prints one line to standard error and exits.
     """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/gateway/simulator/batch_decoder.py
+++ b/gateway/simulator/batch_decoder.py
@@ -1,7 +1,7 @@
-"""Decodes the simulator's batches: bytes of a frame to events for instances of the policy.
+"""Decoder for batches from the simulator: converts frames to events for instances of the policy.
 
-Each function named `_decode_...` that returns a `_Decoded` decodes one kind of record.  It gets the body of
-the frame and the offset behind the record's code.
+Each function that returns a `_Decoded` decodes one type of record.  Its arguments are the body of the frame
+and the offset of the byte after the record's code.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
     TimerFired,
     UpdateKind,
 )
-from gateway.simulator.wire import Batch, Configure, Crash, EventCode, WireError, WireEvent
+from gateway.simulator.wire import Configure, Crash, EventBatch, EventCode, WireError, WireEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 BATCH_HEADER = struct.Struct("<IIdI")  # record count, length, time, batch number
-LENGTH_FIELD_END = 8  # bytes of a batch header up to and with its length field, which counts what follows it
+LENGTH_FIELD_END = 8  # offset in a batch header; the length field counts the bytes of the frame from here on
 
-# Fields of the records, behind their code.
+# Layouts of the records, without their code.
 _CONFIGURE = struct.Struct("<QI")  # seed, size of the settings
 _ENDPOINT_UPDATE = struct.Struct("<BQI")  # kind, version, record count
 _ENDPOINT_RECORD = struct.Struct("<HdBBHfI")
@@ -46,7 +46,7 @@
 _COUNTER_REPLY = struct.Struct("<BQfd")
 _INSTANCE = struct.Struct("<I")
 
-_INSTANCE_CODE = EventCode.INSTANCE.value  # a plain number, as every record is compared with it
+_INSTANCE_CODE = EventCode.INSTANCE.value  # an int: every record is compared with it, and an enum is slower
 _LOAD_REPORT_COLUMN_BYTES = 4
 _FLAG_IS_RETRY = 2
 _FLAG_IS_WRITE = 4
@@ -55,12 +55,12 @@
 _ENDPOINT_STATES = {state.value: state for state in EndpointState}
 _UPDATE_KINDS = {kind.value: kind for kind in UpdateKind}
 
-_Decoded = tuple[WireEvent, int]  # the event, and the offset of the next record
+_Decoded = tuple[WireEvent, int]  # the event and the offset of the next record
 
 
 def _read_bytes(body: bytes, start: int, size: int) -> bytes:
     if start + size > len(body):
-        raise WireError("a field runs past the end of the frame")
+        raise WireError("a field extends beyond the end of the frame")
     return body[start : start + size]
 
 
@@ -68,11 +68,11 @@
     try:
         return _OUTCOMES[code]
     except KeyError:
-        raise WireError(f"unknown outcome {code}") from None
+        raise WireError(f"unknown outcome: {code}") from None
 
 
 def _decode_load_report(body: bytes, start: int, columns: int) -> tuple[tuple[float, ...], int]:
-    """Return the numbers of a load report, and the offset behind it."""
+    """Return the values of a load report and the offset after it."""
     data = _read_bytes(body, start, _LOAD_REPORT_COLUMN_BYTES * columns)
     return struct.unpack(f"<{columns}f", data), start + len(data)
 
@@ -87,7 +87,7 @@
     kind, version, count = _ENDPOINT_UPDATE.unpack_from(body, start)
     start += _ENDPOINT_UPDATE.size
     if kind not in _UPDATE_KINDS:
-        raise WireError(f"unknown kind of endpoint update {kind}")
+        raise WireError(f"unknown kind of endpoint update: {kind}")
     data = _read_bytes(body, start, count * _ENDPOINT_RECORD.size)
     records = tuple(map(_decode_endpoint_record, _ENDPOINT_RECORD.iter_unpack(data)))
     return EndpointUpdate(_UPDATE_KINDS[kind], version, records), start + len(data)
@@ -96,7 +96,7 @@
 def _decode_endpoint_record(fields: tuple[Any, ...]) -> EndpointRecord:
     zone, started_at, state, machine_type, cell, weight, endpoint_id = fields
     if state not in _ENDPOINT_STATES:
-        raise WireError(f"unknown endpoint state {state}")
+        raise WireError(f"unknown endpoint state: {state}")
     return EndpointRecord(
         endpoint_id,
         zone,
@@ -210,43 +210,43 @@
 }
 
 
-def decode_batch(header: bytes, body: bytes) -> Batch:
-    """Return one batch, decoded from its header and the records behind it.
+def decode_batch(header: bytes, body: bytes) -> EventBatch:
+    """Decode a batch from its header and its body, which holds the records.
 
     Raises:
         WireError: The frame is malformed.
     """
-    record_count, length, now, number = BATCH_HEADER.unpack(header)
+    record_count, length, time, number = BATCH_HEADER.unpack(header)
     if length != len(body) + BATCH_HEADER.size - LENGTH_FIELD_END:
-        raise WireError("the batch's length does not match its body")
-    batch = Batch(now, number)
+        raise WireError("the length of the batch does not match its body")
+    batch = EventBatch(time, number)
     try:
-        end = _decode_records(body, record_count, batch.records)
+        end = _decode_records(body, record_count, batch.events)
     except (struct.error, IndexError):
         raise WireError("the frame is truncated") from None
     except UnicodeDecodeError:
-        raise WireError("the settings are not text") from None
+        raise WireError("the settings are not valid UTF-8") from None
     if end != len(body):
-        raise WireError("bytes follow the last record")
+        raise WireError("unexpected bytes after the last record")
     return batch
 
 
-def _decode_records(body: bytes, record_count: int, records: list[tuple[int, WireEvent]]) -> int:
-    """Append the decoded events to `records`, and return the offset behind the last record."""
-    instance = None
-    position = 0
+def _decode_records(body: bytes, record_count: int, events: list[tuple[int, WireEvent]]) -> int:
+    """Append the decoded events to `events` and return the offset after the last record."""
+    instance_id = None
+    offset = 0
     for _ in range(record_count):
-        code = body[position]
-        position += 1
+        code = body[offset]
+        offset += 1
         if code == _INSTANCE_CODE:
-            (instance,) = _INSTANCE.unpack_from(body, position)
-            position += _INSTANCE.size
+            (instance_id,) = _INSTANCE.unpack_from(body, offset)
+            offset += _INSTANCE.size
             continue
         decoder = _DECODERS.get(code)
         if decoder is None:
-            raise WireError(f"unknown record code {code}")
-        if instance is None:
-            raise WireError("an event comes before any instance")
-        event, position = decoder(body, position)
-        records.append((instance, event))
-    return position
+            raise WireError(f"unknown record code: {code}")
+        if instance_id is None:
+            raise WireError("an event record precedes the first INSTANCE record")
+        event, offset = decoder(body, offset)
+        events.append((instance_id, event))
+    return offset
--- a/gateway/simulator/reply_encoder.py
+++ b/gateway/simulator/reply_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes the replies to the simulator: actions of instances of the policy to bytes of a frame."""
+"""Encoder for replies to the simulator: converts actions of instances of the policy to frames."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     from collections.abc import Callable, Iterable
 
 REPLY_HEADER = struct.Struct("<III")  # length, record count, batch number
-LENGTH_FIELD_END = 4  # bytes of a reply header up to and with its length field, which counts what follows it
+LENGTH_FIELD_END = 4  # offset in a reply header; the length field counts the bytes of the frame from here on
 
-# Fields of the records, the code first.
+# Layouts of the records; the first field is the code.
 _START_ATTEMPT = struct.Struct("<BQId")
 _REJECT = struct.Struct("<BQd")
 _CANCEL = struct.Struct("<BQH")
@@ -40,7 +40,7 @@
 _SEND_TO_PEERS = struct.Struct("<BIH")  # code, peer, size of the data
 _CODE_AND_TEXT_SIZE = struct.Struct("<BH")
 
-_ALL_PEERS = 0xFFFFFFFF  # stands for every peer
+_ALL_PEERS = 0xFFFFFFFF  # peer number that addresses all peers
 _MAX_TEXT_BYTES = 0xFFFF
 
 
@@ -122,24 +122,29 @@
 
 
 def encode_action(action: WireAction) -> bytes:
-    """Return the record of one action, with its code.
+    """Return the record of an action, including its code.
 
     Raises:
-        WireError: The wire has no record for it.
+        WireError: The wire protocol has no record for this type of action.
     """
     try:
         encoder = _ENCODERS[type(action)]
     except KeyError:
-        raise WireError(f"not an action: {action!r}") from None
+        raise WireError(f"no record type for the action {action!r}") from None
     return encoder(action)
 
 
 def encode_reply(number: int, actions: Iterable[tuple[int, list[WireAction]]]) -> bytes:
-    """Return the reply to the batch with this number: the actions of each instance, in order."""
+    """Return the reply to a batch.
+
+    Args:
+        number: The number of the batch.
+        actions: The actions of each instance in order, each list with the id of its instance.
+    """
     records: list[bytes] = []
-    for instance, instance_actions in actions:
+    for instance_id, instance_actions in actions:
         if instance_actions:
-            records.append(_CODE_AND_INSTANCE.pack(ActionCode.INSTANCE, instance))
+            records.append(_CODE_AND_INSTANCE.pack(ActionCode.INSTANCE, instance_id))
             records.extend(map(encode_action, instance_actions))
     body = b"".join(records)
     length = len(body) + REPLY_HEADER.size - LENGTH_FIELD_END
--- a/gateway/simulator/wire.py
+++ b/gateway/simulator/wire.py
@@ -1,13 +1,13 @@
-"""The simulator's wire 'quartz-61d8': the codes of its records, and the records that only this wire has.
+"""The simulator's wire protocol 'quartz-61d8': record codes, and the record types that only it has.
 
-A frame is a header and a list of records, all little-endian.  A record starts with a byte that is its code:
-an ``EventCode`` in a batch, which the simulator sends, and an ``ActionCode`` in the reply to it.  One adapter
-hosts many instances of the policy: a record of the kind INSTANCE names the one to which the records behind it
-belong.
+A frame consists of a header and a list of records, all little-endian.  The simulator sends batches of events,
+and the adapter sends a reply with actions to each batch.  The first byte of a record is its code: an
+``EventCode`` in a batch, an ``ActionCode`` in a reply.  One adapter runs many instances of the policy: an
+INSTANCE record sets the instance for the records that follow it.
 
-Some events and actions have a meaning on this wire alone; the gateway process neither delivers nor executes
-them: ``AttemptStarted``, ``PeerMessage``, ``SendToPeers``, ``WatchEndpoints`` and ``FetchEndpoints``.  It
-executes ``CloseIdle`` and ``Log`` too.
+The gateway process does not deliver or execute these events and actions, which only this wire uses:
+``AttemptStarted``, ``PeerMessage``, ``SendToPeers``, ``WatchEndpoints`` and ``FetchEndpoints``.  It does
+execute ``CloseIdle`` and ``Log``.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class WireError(ValueError):
-    """A frame that no correct peer would send."""
+    """A frame violates the wire protocol."""
 
 
 class EventCode(IntEnum):
-    """Codes of the records in a batch."""
+    """Codes of the records of a batch."""
 
     CONFIGURE = 1
     ENDPOINT_UPDATE = 2
@@ -37,11 +37,11 @@
     PEER_MESSAGE = 9
     CRASH = 10
     COUNTER_REPLY = 11
-    INSTANCE = 12  # the instance that the records behind it are for
+    INSTANCE = 12  # sets the instance that the following records are for
 
 
 class ActionCode(IntEnum):
-    """Codes of the records in a reply."""
+    """Codes of the records of a reply."""
 
     START_ATTEMPT = 1
     REJECT = 2
@@ -56,12 +56,12 @@
     WATCH_ENDPOINTS = 11
     FETCH_ENDPOINTS = 12
     ADD_TO_COUNTER = 13
-    INSTANCE = 14  # the instance that the records behind it are from
+    INSTANCE = 14  # sets the instance that the following records are from
 
 
 @dataclass(slots=True)
 class Configure:
-    """Starts or restarts an instance: its policy is built from ``settings`` and ``seed``."""
+    """Starts or restarts an instance with a new policy, which is created from ``settings`` and ``seed``."""
 
     seed: int
     settings: str
@@ -69,12 +69,12 @@
 
 @dataclass(slots=True)
 class Crash:
-    """Ends an instance as a crash would: its state and the actions of this batch so far are lost."""
+    """Simulates the crash of an instance: drops its state and the actions it has returned in this batch."""
 
 
 @dataclass(slots=True)
 class Fault:
-    """Reports that an instance failed on an event; ``text`` names the exception and what it said."""
+    """Reports an exception of an instance; ``text`` has the type and the message of the exception."""
 
     text: str
 
@@ -84,15 +84,15 @@
 
 
 @dataclass(slots=True)
-class Batch:
-    """The events that happen at one time.
+class EventBatch:
+    """The events that occur at one time.
 
     Attributes:
-        now: The simulator's time in seconds.
-        number: The batch's number, which its reply repeats.
-        records: The events in order, each with the instance that it is for.
+        time: The simulator's time in seconds.
+        number: The number of the batch, which the reply repeats.
+        events: The events in order, each with the id of the instance that it is for.
     """
 
-    now: float
+    time: float
     number: int
-    records: list[tuple[int, WireEvent]] = field(default_factory=list)
+    events: list[tuple[int, WireEvent]] = field(default_factory=list)
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's wire and its adapter."""
+"""Tests of the simulator's wire protocol and of its adapter."""
--- a/tests/simulator/test_batch_decoder.py
+++ b/tests/simulator/test_batch_decoder.py
@@ -1,4 +1,4 @@
-"""The decoder of the simulator's batches: the wire's published examples."""
+"""Tests of the batch decoder with the examples of the wire protocol's specification."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 OTHER_REQUEST_ID = 0x1D8A80E6F2B19
 ENDPOINT_ID = 0x03124A07
 OTHER_ENDPOINT_ID = 0x2C9011F2
-INSTANCE = 3
+INSTANCE_ID = 3
 INSTANCE_RECORD = "0c03000000"
 TWO_INSTANCES = (
     "0500000054000000508d976e12d320400c000000"
@@ -47,41 +47,41 @@
 )
 
 
-def decode(frame: str) -> wire.Batch:
+def decode(frame: str) -> wire.EventBatch:
     data = bytes.fromhex(frame)
     header_size = batch_decoder.BATCH_HEADER.size
     return batch_decoder.decode_batch(data[:header_size], data[header_size:])
 
 
 def decode_record(record: str) -> Event | wire.Configure | wire.Crash:
-    """Return the event of one record, in a batch for one instance."""
+    """Decode a batch with one event record for one instance, and return the event."""
     body = bytes.fromhex(INSTANCE_RECORD + record)
     length = len(body) + batch_decoder.BATCH_HEADER.size - batch_decoder.LENGTH_FIELD_END
     header = batch_decoder.BATCH_HEADER.pack(2, length, 1.0, 1)
-    ((instance, event),) = batch_decoder.decode_batch(header, body).records
-    assert instance == INSTANCE
+    ((instance_id, event),) = batch_decoder.decode_batch(header, body).events
+    assert instance_id == INSTANCE_ID
     return event
 
 
 def test_empty_batch() -> None:
     batch = decode("000000000c000000508d976e12d3204001000000")
-    assert batch.now == BATCH_TIME
+    assert batch.time == BATCH_TIME
     assert batch.number == 1
-    assert batch.records == []
+    assert batch.events == []
 
 
-def test_published_batch_names_the_instance_of_each_event() -> None:
+def test_each_event_has_the_id_of_its_instance() -> None:
     batch = decode(TWO_INSTANCES)
-    (first_instance, _), (second_instance, timer), (third_instance, disconnect) = batch.records
-    assert first_instance == INSTANCE
-    assert second_instance == INSTANCE
+    (first_instance, _), (second_instance, timer), (third_instance, disconnect) = batch.events
+    assert first_instance == INSTANCE_ID
+    assert second_instance == INSTANCE_ID
     assert third_instance == 5
     assert timer == TimerFired(77)
     assert disconnect == ClientDisconnected(OTHER_REQUEST_ID)
 
 
-def test_published_request_decodes() -> None:
-    _, request = decode(TWO_INSTANCES).records[0]
+def test_request_decodes() -> None:
+    _, request = decode(TWO_INSTANCES).events[0]
     assert isinstance(request, Request)
     assert request.request_id == REQUEST_ID
     assert request.units == 2.0
@@ -105,11 +105,11 @@
         pytest.param("0a", wire.Crash(), id="crash"),
     ],
 )
-def test_published_records_decode(record: str, event: object) -> None:
+def test_records_decode(record: str, event: object) -> None:
     assert decode_record(record) == event
 
 
-def test_published_end_of_an_attempt_decodes() -> None:
+def test_attempt_finished_decodes() -> None:
     finished = decode_record("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
     assert isinstance(finished, AttemptFinished)
     assert finished.charged_units == 3
@@ -120,20 +120,20 @@
     assert finished.load_report == ()
 
 
-def test_published_end_of_a_probe_decodes() -> None:
+def test_probe_finished_decodes() -> None:
     probed = decode_record("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
     assert isinstance(probed, ProbeFinished)
     assert probed.load_report == pytest.approx((3.0, 0.62, 7.0))
 
 
-def test_published_reply_of_the_counter_decodes() -> None:
+def test_counter_reply_decodes() -> None:
     counter_reply = decode_record("0b0090f68900000000000000184222fdf675e09c613f")
     assert isinstance(counter_reply, CounterReply)
     assert counter_reply.name == 0x89F690
     assert counter_reply.total == 38.0
 
 
-def test_published_endpoint_update_decodes() -> None:
+def test_endpoint_update_decodes() -> None:
     update = decode_record(ENDPOINT_UPDATE)
     assert isinstance(update, EndpointUpdate)
     assert update.kind is UpdateKind.CACHED
--- a/tests/simulator/test_reply_encoder.py
+++ b/tests/simulator/test_reply_encoder.py
@@ -1,4 +1,4 @@
-"""The encoder of replies to the simulator: the wire's published examples."""
+"""Tests of the reply encoder with the examples of the wire protocol's specification."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert reply_encoder.encode_reply(1, []).hex() == "080000000000000001000000"
 
 
-def test_published_reply() -> None:
+def test_reply_with_actions_of_one_instance() -> None:
     actions: list[Action | wire.Fault] = [
         StartAttempt(REQUEST_ID, ENDPOINT_ID, 0.08),
         SetTimer(TIMER_DUE_AT, 77),
@@ -68,5 +68,5 @@
         ),
     ],
 )
-def test_actions_encode(action: Action | wire.Fault, record: str) -> None:
+def test_action_records(action: Action | wire.Fault, record: str) -> None:
     assert reply_encoder.encode_action(action) == bytes.fromhex(record)
