--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -52,7 +52,7 @@
     """Check that a snapshot is fetched on a new connection, and that the old connection is then closed."""
     agent.watch_lines.clear()
     agent.snapshot = update_json(44, SECOND_ENDPOINT, complete=True)
-    await until(lambda: received.last_version == 44 and agent.open == 1)
+    await until(lambda: received.last_version == 44 and agent.open_connections == 1)
     assert [record.endpoint_id for record in received.updates[-1].records] == [SECOND_ENDPOINT_ID]
 
 
@@ -104,7 +104,7 @@
         await received.until_version(42)
         # Sooner than an attempt made during the partition would have timed out.
         assert time.monotonic() - recovered_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
-        await until(lambda: agent.open == 1)  # the silent connection is closed
+        await until(lambda: agent.open_connections == 1)  # the silent connection is closed
 
 
 # Guards against a connection that is closed as soon as it is silent: its updates are applied until another
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -81,7 +81,7 @@
         for customer in range(1, 80):
             async with HttpClient(process.listener, customer) as client:
                 assert (await client.send_request()).status == 200
-        assert counter.opened > 6
+        assert counter.accepted_connections > 6
         assert rate_limiter.failure_ratio.value > 0
         assert rate_limiter.rate >= rate_before
 
