--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -22,7 +22,8 @@
         upstream = gateway.process.driver.upstream
         upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST_ENDPOINT].address, 0.0)
         await until(lambda: not endpoint.open_connections)
-        assert (await gateway.client.send_request()).status == 502  # the policy still selects the removed endpoint
+        # The policy still selects the removed endpoint.
+        assert (await gateway.client.send_request()).status == 502
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
         assert len(endpoint.requests) == 1
         assert list(upstream.pools) == [NEW_ENDPOINT_ID]
