--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""How many attempts may be in flight: an AIMD limit on late responses, and load shedding by load reports."""
+"""Limits the attempts in flight: by AIMD on late responses, and by load shedding on load reports."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
     from gateway.policy.endpoints import EndpointTable
     from gateway.policy.load_report import LoadReport
 
-INITIAL_LIMIT = 12.0  # attempts in flight at a mean endpoint, of all gateways
-MIN_LIMIT = 4.0  # of the same: an idle core serves nobody
-HEADROOM_DEVIATIONS = 0.7  # standard deviations of headroom above the mean: a gateway's load comes unevenly
-BACKOFF_FACTOR = 0.85  # on the limit when responses are late
-BINDING_MARGIN_ATTEMPTS = 2  # below the limit within which it binds, and may rise
-MAX_LATE_RATIO = 0.3  # of responses: more than one slow endpoint or costly request brings about
-MEAN_LATENCY_WEIGHT = LATENCY_WEIGHT / 4  # of the newest response in a mean of all endpoints
-LATE_WEIGHT = LATENCY_WEIGHT / 2  # of the newest outcome in the ratio of late responses
-INITIAL_LOAD = 1.0  # of an endpoint that has responded, until load reports come
+INITIAL_LIMIT = 12.0  # attempts in flight from all gateways at an average endpoint
+MIN_LIMIT = 4.0  # attempts, as above; a lower limit would leave cores of the endpoints idle
+HEADROOM_DEVIATIONS = 0.7  # standard deviations above the mean limit, as a gateway's load varies
+BACKOFF_FACTOR = 0.85  # multiplies the limit when too many responses are late
+BINDING_MARGIN_ATTEMPTS = 2  # the limit counts as binding, and may rise, this many attempts below it
+MAX_LATE_RATIO = 0.3  # higher than the late ratio that one slow endpoint or one costly request causes
+MEAN_LATENCY_WEIGHT = LATENCY_WEIGHT / 4  # of the newest response in an average over all endpoints
+LATE_WEIGHT = LATENCY_WEIGHT / 2  # of the newest outcome in the late ratio
+INITIAL_LOAD = 1.0  # assumed for an endpoint that has responded, until load reports arrive
 
 
 class ConcurrencyLimiter:
-    """One limit for all endpoints, and the moving averages of latency and load that it rests on.
+    """Adapts one concurrency limit for all endpoints, and keeps the moving averages of latency and load.
 
     Attributes:
-        concurrency_limit: Attempts that this gateway may have in flight at a mean endpoint.
+        concurrency_limit: Attempts that this gateway may have in flight at an average endpoint.
         latency_target: Latency in seconds that load shedding aims at.
-        lateness: 1 for each outcome that was late or a failure, 0 for the others.
+        lateness: Moving average with the sample 1 for an outcome that was late or a failure, else 0.
         lowered_at: Unix time at which the limit was last lowered, in seconds.
-        latency: Mean latency of responses, in seconds.
-        class_latency: The same by class index, as the work differs by class.
-        reported_load: Mean load of the endpoints that report.
-        recent_latency: Latency of recent responses, in seconds.
-        recent_load: Load of the endpoints that recent responses came from.
+        latency: Moving average of the latency of responses, in seconds.
+        class_latency: The latency average of each class, by class index, as the work differs by class.
+        reported_load: Moving average of the load in load reports.
+        recent_latency: Latency of recent responses in seconds; it adapts faster than `latency`.
+        recent_load: Load of the endpoints that sent these recent responses.
     """
 
     def __init__(self, context: Context, endpoints: EndpointTable) -> None:
@@ -57,7 +57,7 @@
 
     @property
     def late_ratio(self) -> float:
-        """Fraction of the outcomes that were late or failures."""
+        """Recent fraction of the outcomes that were late or failures."""
         return self.lateness.value
 
     @property
@@ -71,23 +71,26 @@
         return self.reported_load.value
 
     def has_capacity(self) -> bool:
-        """Return whether an attempt may start; those that hang do not count.
+        """Return whether an attempt may start; hung attempts do not count towards the limit.
 
-        Under a high reported load each gateway sheds its part by chance, as it does not know of the others.
+        Under a high reported load, each gateway sheds attempts at random, as gateways do not coordinate this.
         """
         if self.context.random.random() > 2 - self.utilization():
             return False
-        mean_limit = self.concurrency_limit * len(self.endpoints.ready)
-        limit = mean_limit + HEADROOM_DEVIATIONS * math.sqrt(mean_limit)
+        total_limit = self.concurrency_limit * len(self.endpoints.ready)
+        limit = total_limit + HEADROOM_DEVIATIONS * math.sqrt(total_limit)
         return self.endpoints.in_flight - self._count_hung_attempts() < limit
 
     def _count_hung_attempts(self) -> int:
         started_before = self.context.now - OUTLIER_FACTOR * self.mean_latency
-        hanging = takewhile(started_before.__gt__, self.endpoints.started_at.values())  # oldest first
-        return len(list(hanging))
+        hung = takewhile(started_before.__gt__, self.endpoints.started_at.values())  # oldest first
+        return len(list(hung))
 
     def record_outcome(self, *, late: bool, typical: bool) -> None:
-        """Adapt the limit to an outcome; that of an outlier is not typical of the other endpoints."""
+        """Adapt the limit to an outcome; one that is not typical is left out of the late ratio.
+
+        The outcomes of an outlier, for example, are not typical of the other endpoints.
+        """
         if typical:
             self.lateness.record(1.0 if late else 0.0)
         if self.late_ratio >= MAX_LATE_RATIO:
@@ -96,43 +99,50 @@
             self._raise_limit()
 
     def _raise_limit(self) -> None:
-        """Raise the limit if it binds: by one attempt of all gateways when as many responses have come."""
+        """Raise the limit if it binds.
+
+        After as many responses as attempts may be in flight, the limits of all gateways add up to one more
+        attempt at each endpoint.
+        """
         ready_count = len(self.endpoints.ready)
         if self.endpoints.in_flight + BINDING_MARGIN_ATTEMPTS >= self.concurrency_limit * ready_count:
             step = 1 / (self.concurrency_limit * max(1, ready_count))
             self.concurrency_limit += step / self.context.gateway_count
 
     def _lower_limit(self) -> None:
-        """Lower the limit, once in a mean latency."""
+        """Lower the limit, at most once per mean latency."""
         now = self.context.now
         if now - self.lowered_at > self.mean_latency:
             self.lowered_at = now
-            lowest = MIN_LIMIT / self.context.gateway_count
-            self.concurrency_limit = max(lowest, self.concurrency_limit * BACKOFF_FACTOR)
-
-    def record_load_report(self, load_report: LoadReport, columns: tuple[float, ...]) -> None:
-        """Record a load report; an empty one, where others come, means that the endpoint is busy."""
-        values = dict(zip(self.context.settings.report_columns, columns, strict=False))
-        if values:
-            load = values.get("inflight", values.get("queue", 0.0) + values.get("util", 0.0))
+            min_limit = MIN_LIMIT / self.context.gateway_count
+            self.concurrency_limit = max(min_limit, self.concurrency_limit * BACKOFF_FACTOR)
+
+    def record_load_report(self, load_report: LoadReport, values: tuple[float, ...]) -> None:
+        """Record the values of a load report; without any, the endpoint counts as busier than the mean."""
+        by_column = dict(zip(self.context.settings.report_columns, values, strict=False))
+        if by_column:
+            load = by_column.get("inflight", by_column.get("queue", 0.0) + by_column.get("util", 0.0))
             self.reported_load.record(load)
         else:
             load = self.mean_load + 1
         load_report.record(load, self.context.now)
 
     def record_response(self, load_report: LoadReport, class_index: int, latency: float) -> None:
-        """Record a successful response, its latency in seconds, and the load of its endpoint."""
+        """Record the latency in seconds of a successful response, and the load of its endpoint."""
         self.recent_latency.record(latency)
         self.recent_load.record(self.estimated_load(load_report))
         self.latency.record(latency)
         self.class_latency[class_index].record(latency)
 
     def estimated_load(self, load_report: LoadReport) -> float:
-        """Return 1 plus the load of an endpoint, by its report or, where that is old, the mean load."""
+        """Return 1 plus an endpoint's load: the reported load, or the mean load if the report is too old."""
         return 1 + load_report.estimate(self.context.now, self.mean_load)
 
     def utilization(self) -> float:
-        """Return the latency to expect at the reported load, as a fraction of the target."""
+        """Return the expected latency at the mean reported load, as a fraction of the latency target.
+
+        Returns 0 if load reports do not count requests in flight: a queue length does not predict latency.
+        """
         if "inflight" not in self.context.settings.report_columns:
-            return 0.0  # latency does not follow from a queue length alone
+            return 0.0
         return self.recent_latency.value / self.recent_load.value * (1 + self.mean_load) / self.latency_target
--- a/gateway/policy/dispatch_queue.py
+++ b/gateway/policy/dispatch_queue.py
@@ -12,7 +12,7 @@
 
 
 class DispatchQueue:
-    """The admitted requests of which no attempt is in flight, though one may start.
+    """A queue of admitted requests that have no attempt in flight and may start one.
 
     Attributes:
         waiting: The requests, in the order in which they were queued.
@@ -25,15 +25,15 @@
         return len(self.waiting)
 
     def add(self, pending: PendingRequest) -> None:
-        """Queue a request."""
+        """Add a request at the end of the queue."""
         self.waiting.append(pending)
 
     def pop_all(self) -> list[PendingRequest]:
-        """Remove all requests and return them by priority, those of one priority as they were queued."""
+        """Remove all requests; return them by descending priority, with equal priorities in queue order."""
         waiting = self.waiting
         self.waiting = []
         return sorted(waiting, key=PRIORITY, reverse=True)
 
     def remove_closed(self) -> None:
-        """Remove the requests that are answered or whose clients are gone."""
+        """Remove the requests that have been answered or whose clients have disconnected."""
         self.waiting = [pending for pending in self.waiting if not pending.closed]
--- a/gateway/policy/moving_average.py
+++ b/gateway/policy/moving_average.py
@@ -1,4 +1,4 @@
-"""Exponentially weighted moving averages: by sample, and sums that decay over time."""
+"""Exponentially weighted moving averages of samples, and event counts that decay over time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class MovingAverage:
-    """An average in which the newest sample has a constant weight.
+    """An exponentially weighted moving average, in which the newest sample has a constant weight.
 
     Attributes:
         value: The average; before the first sample, an assumed value.
@@ -19,26 +19,26 @@
     weight: float
 
     def record(self, sample: float) -> None:
-        """Include one more sample."""
+        """Add a sample to the average."""
         self.value += self.weight * (sample - self.value)
 
     def reset(self, value: float) -> None:
-        """Begin again with an assumed value."""
+        """Replace the average by an assumed value."""
         self.value = value
 
 
 def decay_factor(since: float, now: float, time_constant: float) -> float:
-    """Return the factor by which an observation made at `since` has decayed `now`; all in seconds."""
+    """Return the weight, from 1 to 0, that an observation made at `since` has at `now`; all in seconds."""
     return math.exp((since - now) / time_constant)
 
 
 @dataclass(slots=True)
 class DecayingSum:
-    """A sum of events of which each counts less the longer ago it was.
+    """A count of events in which older events have less weight, to estimate the rate of events.
 
     Attributes:
         time_constant: Seconds in which an event's weight falls by the factor e.
-        value: The sum at `updated_at`.
+        value: Sum of the events' weights at `updated_at`.
         updated_at: Unix time of the last event, in seconds.
     """
 
@@ -47,7 +47,7 @@
     updated_at: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Return the events a second that the sum stands for now."""
+        """Return the estimated rate in events a second."""
         return self.value * decay_factor(self.updated_at, now, self.time_constant) / self.time_constant
 
     def record(self, now: float) -> None:
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request from its arrival until it is answered and none of its attempts is in flight."""
+"""The state of a request, from its arrival until it is answered and none of its attempts is in flight."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     """A request and its attempts.  Only the engine calls the methods that change it.
 
     Attributes:
-        request: The event that brought it.
-        request_class: Its class.
-        plan: Its customer's plan.
-        arrived_at: Unix time of its arrival, in seconds.
-        deadline: Unix time at which its client gives up, in seconds.
+        request: The event with which the request arrived.
+        request_class: The class of the request.
+        plan: The plan of the customer.
+        arrived_at: Unix time at which the request arrived, in seconds.
+        deadline: Unix time at which the client gives up, in seconds.
         in_flight: The attempts in flight, by attempt number.
-        tried_endpoints: Ids of the endpoints that its attempts went to, in order.
-        attempts_started: Attempts so far; the next attempt's number.
+        tried_endpoints: Ids of the endpoints that the attempts were sent to, in order.
+        attempts_started: Number of attempts so far, and thus the number of the next attempt.
         possibly_executed: Finished attempts that may have had an effect.
-        closed: Whether it is answered, or its client is gone.
+        closed: Whether the request has been answered or its client has disconnected.
     """
 
     request: Request
@@ -42,27 +42,27 @@
 
     @property
     def priority(self) -> float:
-        """Weight of a response by class and plan; the larger is served first."""
+        """Weight of a response by class and plan; requests with a higher weight are dispatched first."""
         return self.request_class.priority_weight * self.plan.price_weight
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Add an attempt, with the next number."""
+        """Record the start of an attempt under the next attempt number."""
         self.in_flight[self.attempts_started] = attempt
         self.attempts_started += 1
         self.tried_endpoints.append(attempt.endpoint.record.endpoint_id)
 
     def finish_attempt(self, number: int, *, never_ran: bool) -> Attempt | None:
-        """Remove an attempt that has finished, and return it; None where it is not in flight."""
+        """Record the end of an attempt and return it, or None if it is not in flight."""
         attempt = self.in_flight.pop(number, None)
         if attempt is not None and not never_ran:
             self.possibly_executed.append(attempt)
         return attempt
 
     def first_effective_attempt(self) -> Attempt | None:
-        """Return the earliest attempt that has had an effect or may have one; None without any."""
+        """Return the earliest attempt, in flight or finished, that may have an effect; None without one."""
         attempts = [*self.in_flight.values(), *self.possibly_executed]
         return min(attempts, key=attrgetter("started_at"), default=None)
 
     def close(self) -> None:
-        """Mark the request as answered, or as one whose client is gone."""
+        """Mark the request as answered, or as one whose client has disconnected."""
         self.closed = True
--- a/gateway/policy/slow_start.py
+++ b/gateway/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how many attempts may go to endpoints that are warming up."""
+"""Slow start: limits the attempts at endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -8,40 +8,50 @@
 from gateway.policy.moving_average import DecayingSum
 from gateway.policy.token_bucket import TokenBucket
 
-BUDGET_FRACTION = 0.7  # of the load that an endpoint surely bears, as the work per request varies
-MIN_BUDGET = 4.0  # requests of all gateways in a window: an endpoint may warm up by serving only
+BUDGET_FRACTION = 0.7  # of the load that may crash a warming endpoint, as the work per request varies
+MIN_BUDGET = 4.0  # requests per window from all gateways, as some endpoints warm up only by serving requests
 
 
 @dataclass(slots=True, eq=False)
 class SlowStartBudget:
-    """This gateway's part of the attempts that one endpoint may get while it warms up.
+    """This gateway's share of the attempts that one endpoint may get while it warms up.
 
     Attributes:
-        bucket: A token for each attempt that may start.
+        bucket: Holds one token for each attempt that may start.
     """
 
     bucket: TokenBucket = field(default_factory=TokenBucket)
 
     @property
     def is_initialized(self) -> bool:
-        """Whether the endpoint has had a budget before."""
+        """Whether the budget has been reset before, as it is when an endpoint is first listed."""
         return self.bucket.updated_at != 0.0
 
     def reset(self, tokens: float, now: float) -> None:
-        """Begin again with a number of attempts, for an endpoint that has started."""
+        """Set the budget to a number of attempts, for an endpoint that has started or restarted."""
         self.bucket.reset(tokens, now)
 
     def allows_attempt(self, now: float, rate: float, capacity: float) -> bool:
-        """Return whether an attempt may start, at a rate in attempts a second and a capacity in attempts."""
+        """Refill the bucket and return whether an attempt may start.
+
+        Args:
+            now: Unix time in seconds.
+            rate: Attempts a second that accrue.
+            capacity: Attempts that may be saved up.
+        """
         return self.bucket.refill(now, rate, capacity) >= 1.0
 
     def record_attempt(self) -> None:
-        """Take one attempt out of the budget."""
+        """Deduct one attempt from the budget."""
         self.bucket.consume(1.0)
 
 
 class SlowStart:
-    """Computes the budget of each warming endpoint from the attempts that warm endpoints get."""
+    """Computes the budget of each warming endpoint from the rate of attempts at warm endpoints.
+
+    Attributes:
+        warm_attempts: Decaying count of this gateway's attempts at warm endpoints.
+    """
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -49,7 +59,7 @@
         self.warm_attempts = DecayingSum(DECAY_SECONDS)
 
     def capacity_fraction(self, started_at: float) -> float:
-        """Return the fraction of its capacity that an endpoint surely has, by when it started."""
+        """Return the fraction of its full capacity that an endpoint has at least, given its start time."""
         duration = self.rules.slow_start_time
         if started_at <= 0 or duration <= 0:
             return 1.0
@@ -60,7 +70,7 @@
         return initial + (1 - initial) * max(0.0, age) / duration
 
     def reset_budget(self, budget: SlowStartBudget) -> None:
-        """Begin an endpoint's budget with less than an attempt, at random: gateways must not send at once."""
+        """Set a budget to a random part of one attempt, so that gateways do not all send at the same time."""
         budget.reset(self.context.random.random(), self.context.now)
 
     def allows_attempt(
@@ -68,20 +78,20 @@
     ) -> bool:
         """Return whether a warming endpoint's budget allows this gateway an attempt.
 
-        Half of the budget may be used at once; the other half accrues over the window.
+        Half of the budget of an overload window may be used at once; the other half accrues over the window.
         """
         rules = self.rules
         now = self.context.now
         window = rules.cold_overload_window
         warm_rate = self.warm_attempts.rate(now)
-        sustained = BUDGET_FRACTION * rules.cold_overload_multiple * capacity_fraction * warm_rate
+        safe_rate = BUDGET_FRACTION * rules.cold_overload_multiple * capacity_fraction * warm_rate
         sharing_gateways = max(1.0, self.context.gateway_count * subset_size / max(1, ready_count))
-        attempts = max(sustained * window / max(1, subset_size), MIN_BUDGET / sharing_gateways)
-        rate = attempts / 2 / max(EPSILON, window)
-        return budget.allows_attempt(now, rate, capacity=max(1.0, attempts / 2))
+        window_budget = max(safe_rate * window / max(1, subset_size), MIN_BUDGET / sharing_gateways)
+        rate = window_budget / 2 / max(EPSILON, window)
+        return budget.allows_attempt(now, rate, capacity=max(1.0, window_budget / 2))
 
     def record_attempt(self, budget: SlowStartBudget, started_at: float) -> None:
-        """Count an attempt at an endpoint: into its budget while it warms up, else into the warm rate."""
+        """Count an attempt: against the budget if the endpoint is warming up, else into `warm_attempts`."""
         if self.capacity_fraction(started_at) < 1:
             budget.record_attempt()
         else:
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -1,4 +1,4 @@
-"""Deterministic subsetting: which of the ready endpoints each gateway of a fleet sends to."""
+"""Deterministic subsetting: chooses the ready endpoints that each gateway of a fleet sends to."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MIN_SUBSET_SIZE = 12  # endpoints: a gateway must bear the loss of a third of them
-MIN_GATEWAYS_PER_ENDPOINT = 8  # so that one gateway's uneven load is spread
-STRIDE_FRACTION = 0.618  # of the ring between neighbouring gateways, as a customer's gateways are neighbours
+MIN_SUBSET_SIZE = 12  # endpoints; a gateway must tolerate the loss of a third of its subset
+MIN_GATEWAYS_PER_ENDPOINT = 8  # evens out an endpoint's load, as the load differs between gateways
+STRIDE_FRACTION = 0.618  # of the ring between consecutive gateways, as a customer's gateways are consecutive
 
 
-@functools.lru_cache(maxsize=1024)  # it compares as many strides as there are gateways
+@functools.lru_cache(maxsize=1024)  # each result takes a comparison of as many strides as there are gateways
 def ring_offset(gateway_index: int, gateway_count: int) -> float:
-    """Return a gateway's place on the ring, from 0 to 1.
+    """Return a gateway's position on the ring, from 0 to 1.
 
-    The gateways are evenly spaced, and neighbours by index are far apart.
+    Gateways are evenly spaced, and gateways with consecutive indices are far apart.
     """
-    numbers = range(1, gateway_count + 1)
-    strides = [number for number in numbers if math.gcd(number, gateway_count) == 1]
-    wanted = STRIDE_FRACTION * gateway_count
-    stride = min(strides, key=lambda stride: abs(stride - wanted))
+    candidates = range(1, gateway_count + 1)
+    strides = [candidate for candidate in candidates if math.gcd(candidate, gateway_count) == 1]
+    ideal_stride = STRIDE_FRACTION * gateway_count
+    stride = min(strides, key=lambda stride: abs(stride - ideal_stride))
     return gateway_index * stride % gateway_count / gateway_count
 
 
 def choose_subset(
     endpoint_count: int, is_warm: Callable[[int], bool], gateway_index: int, gateway_count: int
 ) -> list[int]:
-    """Return the ring positions of a gateway's endpoints, from its own place on.
+    """Return the ring positions of the endpoints in a gateway's subset, beginning at its own position.
 
     Args:
-        endpoint_count: Endpoints on the ring.
-        is_warm: Whether the endpoint at a position is warm; the others do not count towards the size.
+        endpoint_count: Number of ready endpoints on the ring.
+        is_warm: Returns whether the endpoint at a position is warm; only these count towards the size.
         gateway_index: Index of the gateway, from 0.
-        gateway_count: Gateways of the fleet; 0 counts as 1.
+        gateway_count: Number of gateways in the fleet; 0 counts as 1.
     """
     gateway_count = max(1, gateway_count)
     size = max(MIN_SUBSET_SIZE, math.ceil(MIN_GATEWAYS_PER_ENDPOINT * endpoint_count / gateway_count))
--- a/gateway/policy/tick_timer.py
+++ b/gateway/policy/tick_timer.py
@@ -1,4 +1,4 @@
-"""When the policy asks for its timer."""
+"""Schedules the timer of the policy."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from gateway.policy.context import EPSILON, TICK_SECONDS
 
-SLOW_TICK_FACTOR = 2  # ticks between two timers while all requests have attempts in flight
-SLOW_TICK_SECONDS = SLOW_TICK_FACTOR * TICK_SECONDS
-MIN_DELAY_SECONDS = EPSILON  # a driver may round a timer down a little
+SLOW_TICK_FACTOR = 2  # ticks per slow tick
+SLOW_TICK_SECONDS = SLOW_TICK_FACTOR * TICK_SECONDS  # period of the timer while no request waits
+MIN_DELAY_SECONDS = EPSILON  # a timer may fire this much too early, as drivers round its time down
 
 
 @dataclass(slots=True)
 class TickTimer:
-    """The timer that is set; it cannot be unset, so an earlier one may follow.
+    """Schedules one timer; as a timer cannot be unset, an earlier one may be set in addition.
 
     Attributes:
-        due: Unix time of the last timer, in seconds.
+        due: Unix time for which a timer was last set, in seconds.
     """
 
     due: float = -math.inf
 
     def schedule(self, now: float, *, waiting: bool) -> float | None:
-        """Return when to set a timer for, in seconds of Unix time; None where one in time is set.
+        """Return the Unix time in seconds to set a timer for, or None if one is set that is early enough.
 
         Args:
             now: Unix time in seconds.
-            waiting: Whether a request waits, so that the next tick may let it go on.
+            waiting: Whether a request waits, so that the timer is due after one tick, not a slow tick.
         """
         due = now + (TICK_SECONDS if waiting else SLOW_TICK_SECONDS)
         if now + MIN_DELAY_SECONDS < self.due <= due:
