--- a/gateway/policy/__init__.py
+++ b/gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of an admission gateway: no I/O, no clock, standard library only."""
+"""The decisions of an admission gateway, without I/O or a clock, and with the standard library only."""
--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -1,7 +1,7 @@
-"""Actions that the policy answers an event with; its driver executes them in order.
+"""Actions that the policy returns for an event; the driver executes them in order.
 
-Times are in seconds.  CloseIdle, SendToPeers, WatchEndpoints and FetchEndpoints belong to the simulator's
-wire; the policy never emits them, and the gateway's driver supports none but CloseIdle.
+Times are in seconds.  CloseIdle, SendToPeers, WatchEndpoints and FetchEndpoints are part of the simulator's
+protocol.  The policy never emits them, and of these the gateway's driver supports only CloseIdle.
 """
 
 from __future__ import annotations
@@ -11,47 +11,47 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Forward a request to an endpoint.  The first successful response goes to the client."""
+    """Forward a request to an endpoint.  The client gets the first successful response."""
 
     request_id: int
     endpoint_id: int
-    timeout: float  # 0: until the client gives up
+    timeout: float  # 0: the attempt may last until the request's deadline
 
 
 @dataclass(slots=True)
 class Reject:
-    """Answer a request with a rejection, which tells its client that it may retry safely."""
+    """Answer a request with a rejection, which tells the client that it may retry safely."""
 
     request_id: int
-    retry_after: float  # 0: not stated
+    retry_after: float  # 0: the rejection states no time
 
 
 @dataclass(slots=True)
 class Fail:
-    """Answer a request with a failure, which leaves open whether its attempts had an effect."""
+    """Answer a request with a failure: its attempts may or may not have had an effect."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Abandon an attempt in flight; its AttemptFinished event still follows."""
 
     request_id: int
-    attempt: int  # counted from 0 for each request
+    attempt: int  # number of the attempt; each request counts its attempts from 0
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired event; a timer cannot be unset."""
+    """Request a TimerFired event; a timer cannot be unset."""
 
-    at: float  # Unix time
-    token: int
+    at: float  # Unix time at which the timer is due
+    token: int  # identifies the timer in its TimerFired event
 
 
 @dataclass(slots=True)
 class Probe:
-    """Check an endpoint's health and ask for its load report."""
+    """Check an endpoint's health and request its load report."""
 
     endpoint_id: int
 
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class SendToPeers:
-    """Send a message to one other gateway, or to all with `peer` None."""
+    """Send a message to one other gateway, or to all other gateways if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Start or stop a watch on the endpoint list."""
+    """Start or stop watching the endpoint list."""
 
     enabled: bool
 
@@ -92,11 +92,11 @@
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a total of the counter; a CounterReply follows with the total."""
+    """Add to one of the counter's totals; a CounterReply event with the new total follows."""
 
-    name: int
-    amount: float  # below 0: subtract
-    expires_after: float  # time after the call that created the name; later calls do not extend it
+    name: int  # name of the total, which the first call creates
+    amount: float  # a negative amount is subtracted
+    expires_after: float  # time from the creation of the total to its expiry; later calls do not extend it
 
 
 Action = (
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -1,8 +1,8 @@
-"""Events that the policy handles, and the records that they carry.
+"""Events that the policy handles, and the records that they contain.
 
-Times are in seconds; `elapsed` is the time since the start of what the event ends.  AttemptStarted and
-PeerMessage occur on the simulator's wire alone: the gateway's responses are not streamed, and gateways share
-only the counter.  The policy ignores them.
+Times are in seconds; `elapsed` is the duration of the attempt, probe or counter call that the event reports.
+AttemptStarted and PeerMessage are only sent by the simulator: the gateway does not stream responses, and
+gateways do not exchange messages.  The policy ignores both.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt, a probe or a counter call ended; the values are those of the simulator's wire."""
+    """How an attempt, a probe or a counter call ended; the values are those of the simulator's protocol."""
 
     OK = 0
-    ERROR = 5  # the endpoint answered with an error: the attempt may have run
-    OVERLOADED = 11  # rejected by the endpoint, or by the counter, without an effect
-    RESET = 104  # the connection was lost with the attempt in flight
+    ERROR = 5  # the endpoint responded with an error, and may have executed the attempt
+    OVERLOADED = 11  # rejected by the endpoint or the counter, without an effect
+    RESET = 104  # the connection was lost while the attempt was in flight
     TIMEOUT = 110
     CONNECT_FAILED = 111
-    NOT_STARTED = 114  # never sent, as its request was answered or it was cancelled first
+    NOT_STARTED = 114  # never sent: the request was answered, or the attempt cancelled, before that
     CANCELLED = 125
 
     @property
@@ -30,7 +30,7 @@
 
 
 class EndpointState(IntEnum):
-    """An endpoint's state in the endpoint list; the values are those of the simulator's wire."""
+    """An endpoint's state in the endpoint list; the values are those of the simulator's protocol."""
 
     GONE = 0
     READY = 1
@@ -38,25 +38,25 @@
 
 
 class UpdateKind(IntEnum):
-    """What an update of the endpoint list contains; the values are those of the simulator's wire."""
+    """What an update of the endpoint list contains; the values are those of the simulator's protocol."""
 
-    CACHED = 1  # all endpoints as the gateway last knew them, perhaps out of date
-    DELTA = 2  # the endpoints that have changed
-    SNAPSHOT = 3  # all endpoints: one that is missing is gone
-    FAILED = 4  # no endpoints, as a poll of the list has failed
+    CACHED = 1  # all endpoints from the gateway's cache, which may be out of date
+    DELTA = 2  # only the endpoints that have changed
+    SNAPSHOT = 3  # all endpoints; an endpoint that is missing is gone
+    FAILED = 4  # no endpoints, because a poll of the endpoint list has failed
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecord:
     """One endpoint in the endpoint list."""
 
-    endpoint_id: int  # the same at every gateway, and after a restart of the endpoint
-    zone: int
-    started_at: float  # Unix time of its last start; 0: long ago
+    endpoint_id: int  # the same at every gateway, and unchanged when the endpoint restarts
+    zone: int  # index into Settings.zones
+    started_at: float  # Unix time at which the endpoint last started; 0: long ago
     state: EndpointState
-    machine_type: int
+    machine_type: int  # index of the machine type
     cell: int  # endpoints of one cell share the idempotency keys that they have seen
-    weight: float
+    weight: float  # defined by Settings.weight_source
 
 
 @dataclass(slots=True)
@@ -70,17 +70,17 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request of a client, which needs one final answer: an attempt's response, Reject or Fail."""
+    """A client's request, which needs one final answer: the response of an attempt, Reject or Fail."""
 
     request_id: int
-    class_index: int  # into Settings.classes
-    plan_index: int  # into Settings.plans
+    class_index: int  # index into Settings.classes
+    plan_index: int  # index into Settings.plans
     customer: int
-    time_remaining: float  # until the client gives up on it
-    units: float  # that it consumes from a rate quota
-    gateway_set_size: int  # gateways that receive this customer's requests
-    first_gateway: int  # index of the first of them; the others follow it
-    is_retry: bool  # whether the client has sent it before
+    time_remaining: float  # time until the client gives up
+    units: float  # units that the request consumes from a rate quota
+    gateway_set_size: int  # number of gateways that receive this customer's requests
+    first_gateway: int  # index of the first of these gateways; their indices are consecutive
+    is_retry: bool  # whether the client has sent this request before
     is_write: bool
 
 
@@ -89,36 +89,36 @@
     """A streamed response has begun."""
 
     request_id: int
-    attempt: int  # counted from 0 for each request
+    attempt: int  # number of the attempt; each request counts its attempts from 0
     endpoint_id: int
     elapsed: float
 
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended; one such event follows each StartAttempt."""
+    """An attempt has ended; each StartAttempt is followed by exactly one such event."""
 
     request_id: int
-    attempt: int  # counted from 0 for each request
+    attempt: int  # number of the attempt; each request counts its attempts from 0
     endpoint_id: int
     outcome: Outcome
-    request_closed: bool  # whether the request has its final answer, by this outcome or before it
+    request_closed: bool  # whether the request has its final answer, from this attempt or from before
     elapsed: float
-    charged_units: int  # that the request consumed, where usage is settled afterwards, else 0
-    metered_usage: int  # 1 + the customer's usage in percent of its rate, where there is a meter, else 0
-    load_report: tuple[float, ...]  # by Settings.report_columns; empty without a report
+    charged_units: int  # units that the request consumed, if usage is settled after the response; else 0
+    metered_usage: int  # 1 + the customer's usage in percent of its rate, if usage is metered; else 0
+    load_report: tuple[float, ...]  # values in the order of Settings.report_columns; empty without a report
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected, or the request is past its deadline: it needs no answer any more."""
+    """The client has disconnected or the request's deadline has passed, so that no answer is needed."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of SetTimer is due."""
+    """A timer that SetTimer has set is due."""
 
     token: int
 
@@ -130,7 +130,7 @@
     endpoint_id: int
     outcome: Outcome
     elapsed: float
-    load_report: tuple[float, ...]  # by Settings.report_columns; empty without a report
+    load_report: tuple[float, ...]  # values in the order of Settings.report_columns; empty without a report
 
 
 @dataclass(slots=True)
@@ -143,11 +143,11 @@
 
 @dataclass(slots=True)
 class CounterReply:
-    """The answer to one AddToCounter.  Replies for one name arrive in the order of its calls."""
+    """The reply to one AddToCounter.  Replies for one name arrive in the order of the calls."""
 
     name: int
-    outcome: Outcome  # TIMEOUT: the amount may have been added; any other but OK: it was not
-    total: float  # after this call, to seven digits; valid with Outcome.OK alone
+    outcome: Outcome  # OK: the amount was added; TIMEOUT: it may have been added; any other: it was not
+    total: float  # total after this call, to seven digits; valid only with Outcome.OK
     elapsed: float
 
 
