--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy, in fake time."""
+"""Tests of the policy, in simulated time."""
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -1,4 +1,4 @@
-"""A policy and the counter that it calls, as most tests of the policy need them."""
+"""Fixtures for tests of the policy: policies and the counter that they call."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @pytest.fixture
 def counter() -> FakeCounter:
-    """An empty counter."""
+    """A counter without any totals."""
     return FakeCounter()
 
 
 @pytest.fixture
 def policy() -> Policy:
-    """One of three gateways, with six endpoints and the settings of `BASE`."""
+    """The policy of one of three gateways, with six endpoints and the settings in `BASE`."""
     return make_policy()
 
 
 @pytest.fixture
 def other_policy() -> Policy:
-    """Another gateway of the same deployment."""
+    """The policy of another gateway of the same deployment."""
     return make_policy(me="1")
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""Load shedding and the limit of attempts in flight."""
+"""Load shedding, and the limit on attempts in flight."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from gateway.policy.actions import StartAttempt
 
 
-def test_reported_load_sheds_by_chance_before_latencies_rise() -> None:
+def test_a_high_reported_load_sheds_attempts_before_latencies_rise() -> None:
     policy = make_policy(caps__may_probe="true", report__how="pull", report__columns="inflight")
     assert all(policy.concurrency_limiter.has_capacity() for _ in range(50))
     for _ in range(30):
@@ -29,12 +29,12 @@
     assert not any(policy.concurrency_limiter.has_capacity() for _ in range(50))
 
 
-def test_a_hanging_endpoint_leaves_the_capacity_of_the_others() -> None:
+def test_attempts_hung_at_one_endpoint_do_not_block_the_other_endpoints() -> None:
     policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
     attempts: list[StartAttempt] = []
     for request_id in range(6):
         attempts += started_attempts(policy.handle(START, make_request(request_id)))
-    for attempt in attempts:  # those at endpoint 1 stay in flight
+    for attempt in attempts:  # the attempts at endpoint 1 stay in flight
         if attempt.endpoint_id == 2:
             finished = make_finished(attempt.request_id, attempt, Outcome.OK, closed=True)
             policy.handle(START + 0.1, finished)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint table: updates against a table that is rebuilt for each update; draining."""
+"""The endpoint table: its updates, compared with a table that is rebuilt each time, and draining."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 SETTINGS = {"peers_total": "40", "tariffs__0__quota_rate": "0"}
 STEP_SECONDS = 0.4
 
-Entry = tuple[int, EndpointState, int]  # endpoint id, state, how often it has started lately
+Entry = tuple[int, EndpointState, int]  # endpoint id, state, number of recent starts
 
 
 class RebuildingTable(EndpointTable):
-    """The reference: each update walks, sorts and chooses among all endpoints."""
+    """The reference: each update sorts all endpoints again and chooses the subset among them."""
 
     def apply_update(self, update: EndpointUpdate, initial_latency: float) -> None:
         if update.kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT):
-            for known in self.by_id.values():
-                known.update_state(EndpointState.GONE)
+            for endpoint in self.by_id.values():
+                endpoint.update_state(EndpointState.GONE)
         for record in update.records:
             self._apply(record, initial_latency)
         gone = [endpoint for endpoint in self.by_id.values() if endpoint.is_removable]
@@ -85,7 +85,7 @@
 
 
 def choice_state(policy: Policy) -> tuple[object, ...]:
-    """Return what the choice of an endpoint follows from."""
+    """Return the state that the choice of an endpoint depends on."""
     table = policy.endpoints
     states = {
         endpoint_id: (endpoint.state, len(endpoint.in_flight), endpoint.slow_start_budget.bucket.tokens)
@@ -97,7 +97,10 @@
 
 
 class TwinPolicies:
-    """Two policies that get the same events, one with the reference table; their actions must be equal."""
+    """Two policies that get the same events, one with the reference table.
+
+    Their actions and their endpoint tables must be equal after each event.
+    """
 
     def __init__(self, gateway_index: int, seed: int) -> None:
         parsed = parse_settings(settings_text(me=str(gateway_index), **SETTINGS))
@@ -118,7 +121,7 @@
             self.in_flight.append((attempt, number))
 
     def update(self, kind: UpdateKind, entries: list[Entry]) -> None:
-        """Update endpoints, each given by id, state, and how often it has started lately."""
+        """Send an update of the endpoint list with a record for each entry."""
         self.version += 1
         records = tuple(
             make_record(
@@ -155,8 +158,9 @@
 )
 
 
-# For any updates, snapshots, duplicates, removals of unknown endpoints, requests and responses, the updated
-# table and the rebuilt one have the same endpoints, subsets and actions.
+# Guards against updates that leave the table in another state than a rebuild would.  Endpoints, subsets and
+# actions must be equal for any deltas, snapshots, duplicates, removals of unknown endpoints, requests and
+# responses.
 @given(st.lists(STEPS, max_size=30), st.integers(0, 39), st.integers(0, 1 << 16))
 @settings(max_examples=150, deadline=None)
 def test_an_updated_table_equals_a_rebuilt_one(steps: list[Step], gateway_index: int, seed: int) -> None:
@@ -170,7 +174,7 @@
 
 
 def median_update_time(count: int, state: EndpointState) -> float:
-    """Return the processor time in seconds of a delta of one endpoint, in a table of so many."""
+    """Return the processor time in seconds of a delta of one endpoint, in a table of `count` endpoints."""
     records = [make_record(endpoint_id, cell=endpoint_id % 490) for endpoint_id in range(1, count + 1)]
     changes = {**SETTINGS, "peers_total": str(count // 15)}
     policy = Policy(parse_settings(settings_text(me="7", **changes)), 1)
@@ -178,23 +182,24 @@
     times = []
     for ready in records[:60]:
         endpoint_id = ready.endpoint_id
-        withdrawn = make_record(endpoint_id, cell=endpoint_id % 490, state=state)
-        for record in (withdrawn, ready):
+        removed = make_record(endpoint_id, cell=endpoint_id % 490, state=state)
+        for record in (removed, ready):
             event = EndpointUpdate(UpdateKind.DELTA, 1 + endpoint_id, (record,))
-            began_at = time.process_time()
+            started_at = time.process_time()
             policy.handle(START, event)
-            times.append(time.process_time() - began_at)
+            times.append(time.process_time() - started_at)
     return sorted(times)[len(times) // 2]
 
 
-# An update costs what it changes, not what the table holds.  Checked as a ratio, as machines differ.
+# The cost of a delta must depend on the number of its records, not on the size of the table.  Two table sizes
+# are compared, as the speed of machines differs.
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_an_update_costs_no_more_in_a_long_list(state: EndpointState) -> None:
+def test_the_cost_of_a_delta_does_not_grow_with_the_table(state: EndpointState) -> None:
     assert median_update_time(12_000, state) < 8 * median_update_time(600, state)
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_draining_endpoints_get_nothing_new(state: EndpointState) -> None:
+def test_draining_and_gone_endpoints_get_no_new_attempts(state: EndpointState) -> None:
     policy = make_policy([make_record(1), make_record(2)])
     policy.handle(START, EndpointUpdate(UpdateKind.DELTA, 2, (make_record(1, state=state),)))
     assert {start_request(policy, request_id).endpoint_id for request_id in range(4)} == {2}
@@ -206,8 +211,8 @@
     assert {start_request(policy, request_id).endpoint_id for request_id in range(4)} == {2}
 
 
-# The table must not grow: endpoints are replaced all day, under new ids.
-def test_gone_endpoints_are_forgotten_once_nothing_is_in_flight() -> None:
+# Guards against a table that grows without end: replaced endpoints come back under new ids.
+def test_gone_endpoints_are_removed_once_no_attempt_is_in_flight() -> None:
     policy = make_policy([make_record(1)])
     (attempt,) = started_attempts(run_event(policy, FakeCounter(), START, make_request(1)))
     gone = make_record(1, state=EndpointState.GONE)
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -1,4 +1,4 @@
-"""Events in, actions out: the timer, deadlines, late events, determinism."""
+"""The actions that the policy returns for events: the timer, deadlines, late events, determinism."""
 
 from __future__ import annotations
 
@@ -43,22 +43,22 @@
     assert not policy.handle(now + 1, ClientDisconnected(1))
 
 
-def test_a_timer_that_fires_a_little_early_is_set_again() -> None:
+def test_a_timer_that_fires_slightly_early_is_set_again() -> None:
     policy = make_policy()
     (timer,) = actions_of(policy.handle(START, make_request(1)), SetTimer)
     assert actions_of(policy.handle(timer.at - 1e-7, TimerFired(1)), SetTimer)
 
 
-def test_every_waiting_request_ends_in_time() -> None:
+def test_a_request_whose_lease_call_gets_no_reply_is_rejected_before_its_deadline() -> None:
     policy = make_policy()
-    policy.handle(START, replace(make_request(1), time_remaining=0.3))  # its lease is never answered
-    ended: list[Action] = []
+    policy.handle(START, replace(make_request(1), time_remaining=0.3))
+    actions: list[Action] = []
     for tick in range(1, 13):
-        ended += policy.handle(START + tick * TICK_SECONDS, TimerFired(1))
-    assert actions_of(ended, Reject) == [Reject(1, INITIAL_LATENCY_SECONDS)]
+        actions += policy.handle(START + tick * TICK_SECONDS, TimerFired(1))
+    assert actions_of(actions, Reject) == [Reject(1, INITIAL_LATENCY_SECONDS)]
 
 
-def test_a_timeout_at_the_deadline_is_answered_as_failed() -> None:
+def test_a_request_whose_attempt_times_out_at_the_deadline_fails() -> None:
     policy = make_policy()
     attempt = start_request(policy, 1, cls=2)
     assert Fail(1) in policy.handle(START + 4.0, make_finished(1, attempt, Outcome.TIMEOUT))
@@ -68,9 +68,9 @@
     policy = make_policy()
     attempt = start_request(policy, 1)
     policy.handle(START + 0.1, make_finished(1, attempt, Outcome.OK, closed=True))
-    closed_again = make_finished(1, attempt, Outcome.OK, closed=True)
+    duplicate = make_finished(1, attempt, Outcome.OK, closed=True)
     late_events: list[Event] = [
-        closed_again,
+        duplicate,
         ClientDisconnected(1),
         ClientDisconnected(1),
         ClientDisconnected(77),
@@ -79,7 +79,7 @@
         AttemptStarted(1, 0, 1, 0.1),
         PeerMessage(1, b"x"),
         ProbeFinished(1, Outcome.OK, 0.1, ()),
-        replace(closed_again, request_id=5, endpoint_id=999),
+        replace(duplicate, request_id=5, endpoint_id=999),
     ]
     for event in late_events:
         actions = policy.handle(START + 0.2, event)
@@ -117,7 +117,7 @@
     assert len(outputs.pop()) > 1000
 
 
-def test_instances_share_nothing() -> None:
+def test_policies_share_no_state() -> None:
     alone = make_policy((), 4)
     beside_another = make_policy((), 4)
     another = make_policy((), 5)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -45,9 +45,9 @@
     for endpoint_id in policy.endpoints.by_id:
         policy.handle(START, ProbeFinished(endpoint_id, Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
     policy.handle(START, ProbeFinished(probe.endpoint_id, Outcome.OK, 0.01, ()))
-    silent = estimated_load(policy, policy.endpoints.by_id[probe.endpoint_id])
-    assert all(silent > estimated_load(policy, endpoint) - 0.5 for endpoint in policy.endpoints.ready)
-    assert silent > 1 + policy.concurrency_limiter.mean_load
+    without_report = estimated_load(policy, policy.endpoints.by_id[probe.endpoint_id])
+    assert all(without_report > estimated_load(policy, endpoint) - 0.5 for endpoint in policy.endpoints.ready)
+    assert without_report > 1 + policy.concurrency_limiter.mean_load
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
         pytest.param("latency_ms,inflight", True, id="with-load"),
     ],
 )
-def test_probes_are_sent_only_for_reports_that_have_a_load(*, columns: str, probes: bool) -> None:
+def test_probes_are_sent_only_if_load_reports_state_a_load(*, columns: str, probes: bool) -> None:
     policy = make_policy(caps__may_probe="true", report__how="pull", report__columns=columns)
     actions: list[Action] = []
     for request_id in range(20):
@@ -66,7 +66,7 @@
     assert bool(actions_of(actions, Probe)) == probes
 
 
-def test_a_failed_connection_ejects_an_endpoint_until_its_latency_fades() -> None:
+def test_a_failed_connection_ejects_an_endpoint_until_its_latency_has_decayed() -> None:
     policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
     (attempt,) = started_attempts(policy.handle(START, make_request(1)))
     policy.handle(START + 0.25, make_finished(1, attempt, Outcome.CONNECT_FAILED))
@@ -78,8 +78,9 @@
     assert policy.concurrency_limiter.concurrency_limit == pytest.approx(12 / 3)
 
 
-# It still responds to other classes, so its last response says nothing of this one.
-def test_an_endpoint_silent_for_one_class_is_the_last_choice_for_that_class_only() -> None:
+# Guards against a missed outage of one class: the endpoint still responds to other classes, so that its last
+# response to any class is recent.
+def test_an_endpoint_unresponsive_to_one_class_is_avoided_for_that_class_only() -> None:
     policy = make_policy([make_record(1), make_record(2)], tariffs__0__quota_rate="0")
     (attempt,) = started_attempts(policy.handle(START, make_request(1)))
     policy.handle(START + 2.0, TimerFired(1))
--- a/tests/policy/test_moving_average.py
+++ b/tests/policy/test_moving_average.py
@@ -1,4 +1,4 @@
-"""Moving averages by sample, and sums that decay over time."""
+"""Moving averages of samples, and event counts that decay over time."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 TIME_CONSTANT = 5.0  # seconds
 
 
-def test_the_newest_sample_has_the_weight_of_the_average() -> None:
+def test_the_newest_sample_has_the_configured_weight() -> None:
     average = MovingAverage(value=1.0, weight=0.25)
     average.record(5.0)
     assert average.value == 2.0
 
 
-def test_an_average_begins_again_with_an_assumed_value() -> None:
+def test_a_reset_replaces_the_average() -> None:
     average = MovingAverage(value=1.0, weight=0.25)
     average.reset(9.0)
     assert average.value == 9.0
 
 
-def test_an_observation_decays_by_the_factor_e_in_a_time_constant() -> None:
+def test_an_observation_decays_by_the_factor_e_within_one_time_constant() -> None:
     assert decay_factor(100.0, 100.0, TIME_CONSTANT) == 1.0
     assert decay_factor(100.0, 100.0 + TIME_CONSTANT, TIME_CONSTANT) == pytest.approx(math.exp(-1))
 
 
-def test_the_rate_of_steady_events_is_found() -> None:
+def test_the_rate_of_regular_events_is_estimated() -> None:
     events = DecayingSum(TIME_CONSTANT)
     for number in range(1000):
         events.record(100.0 + number / 10)
     assert events.rate(200.0) == pytest.approx(10.0, rel=0.02)
 
 
-def test_the_rate_falls_when_no_events_come() -> None:
+def test_the_rate_decays_without_events() -> None:
     events = DecayingSum(TIME_CONSTANT)
     events.record(100.0)
     assert events.rate(100.0 + TIME_CONSTANT) == pytest.approx(math.exp(-1) / TIME_CONSTANT)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedged requests: when, where, and for which effects."""
+"""Retries and hedged requests: when they start, at which endpoints, and for which effects of a class."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 HUNG_ENDPOINT = 3
 
 
-def test_no_retry_when_an_attempt_times_out_a_little_early() -> None:
+def test_no_retry_when_an_attempt_times_out_slightly_early() -> None:
     policy = make_policy(caps__second_copies="false")
-    sent = start_request(policy, 1)
-    actions = policy.handle(START + 4.0 - 0.031, make_finished(1, sent, Outcome.TIMEOUT))
+    attempt = start_request(policy, 1)
+    actions = policy.handle(START + 4.0 - 0.031, make_finished(1, attempt, Outcome.TIMEOUT))
     assert not started_attempts(actions)
     assert actions_of(actions, Reject)
 
@@ -43,8 +43,8 @@
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT])
 def test_non_idempotent_requests_that_may_have_been_executed_fail(outcome: Outcome) -> None:
     policy = make_policy()
-    sent = start_request(policy, 1, cls=2)
-    actions = policy.handle(START + 0.2, make_finished(1, sent, outcome))
+    attempt = start_request(policy, 1, cls=2)
+    actions = policy.handle(START + 0.2, make_finished(1, attempt, outcome))
     assert Fail(1) in actions
     assert not started_attempts(actions)
 
@@ -52,29 +52,29 @@
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED])
 def test_non_idempotent_requests_that_were_not_executed_are_retried_elsewhere(outcome: Outcome) -> None:
     policy = make_policy()
-    sent = start_request(policy, 1, cls=2)
-    (again,) = started_attempts(policy.handle(START + 0.2, make_finished(1, sent, outcome)))
-    assert again.endpoint_id != sent.endpoint_id
+    attempt = start_request(policy, 1, cls=2)
+    (retry,) = started_attempts(policy.handle(START + 0.2, make_finished(1, attempt, outcome)))
+    assert retry.endpoint_id != attempt.endpoint_id
 
 
-def test_retries_with_a_key_stay_in_their_cell_and_its_dedup_window() -> None:
+def test_retries_with_a_key_stay_within_their_cell_and_the_dedup_window() -> None:
     policy = make_policy()
-    sent = start_request(policy, 1, cls=1)
-    (again,) = started_attempts(policy.handle(START + 0.2, make_finished(1, sent, Outcome.ERROR)))
-    assert again.endpoint_id % 2 == sent.endpoint_id % 2
-    assert again.endpoint_id != sent.endpoint_id
-    actions = policy.handle(START + 2.1, make_finished(1, again, Outcome.ERROR, attempt=1))
+    attempt = start_request(policy, 1, cls=1)
+    (retry,) = started_attempts(policy.handle(START + 0.2, make_finished(1, attempt, Outcome.ERROR)))
+    assert retry.endpoint_id % 2 == attempt.endpoint_id % 2
+    assert retry.endpoint_id != attempt.endpoint_id
+    actions = policy.handle(START + 2.1, make_finished(1, retry, Outcome.ERROR, attempt=1))
     assert Fail(1) in actions
     assert not started_attempts(actions)
 
 
-# A retry may wait for its connection, and must not arrive after the endpoints have forgotten its key: the
-# window is 2 s, and a connection takes up to 0.25 s.
+# Guards against a retry that repeats an effect, as it arrives after the endpoints have forgotten its key.
+# A retry may first wait for a connection: the dedup window is 2 s, and a connection takes up to 0.25 s.
 @pytest.mark.parametrize(
     ("failed_after", "is_retried"),
     [pytest.param(1.6, True, id="in-time"), pytest.param(1.8, False, id="late")],
 )
-def test_a_retry_with_a_key_leaves_time_for_a_connection(*, failed_after: float, is_retried: bool) -> None:
+def test_a_retry_with_a_key_leaves_time_to_connect(*, failed_after: float, is_retried: bool) -> None:
     policy = make_policy()
     counter = FakeCounter()
     (attempt,) = started_attempts(run_event(policy, counter, START, make_request(1, cls=1)))
@@ -84,7 +84,10 @@
 
 
 def assert_not_retried_when_disconnected(policy: Policy, in_flight: list[StartAttempt]) -> None:
-    """Check that request 1 gets no attempt once its client is gone, whatever becomes of those in flight."""
+    """Check that request 1 gets no further attempt once its client has disconnected.
+
+    Each attempt in flight is rejected by its endpoint, which would cause a retry.
+    """
     counter = FakeCounter()
     now = policy.context.now
     policy.handle(now, ClientDisconnected(1))
@@ -126,7 +129,7 @@
     assert_not_retried_when_disconnected(policy, [attempt, hedged])
 
 
-def test_no_hedged_request_where_none_is_allowed() -> None:
+def test_a_stalled_attempt_is_cancelled_where_hedged_requests_are_not_allowed() -> None:
     policy = make_policy(caps__second_copies="false", classes__0__goal_time_s="4.0")
     start_request(policy, 1)
     actions: list[Action] = []
@@ -137,15 +140,15 @@
 
 
 class FleetWithHungEndpoint:
-    """A policy whose endpoints respond after 0.3 s, but for one that never does."""
+    """A policy whose endpoints respond after 0.3 s, except for one that never responds."""
 
     def __init__(self) -> None:
         self.policy = make_policy(tariffs__0__quota_rate="0", classes__0__goal_time_s="4.0")
         self.counter = FakeCounter()
-        self.in_flight: list[tuple[float, StartAttempt, int]] = []
+        self.in_flight: list[tuple[float, StartAttempt, int]] = []  # response time, attempt, attempt number
 
     def send(self, now: float, request_id: int) -> list[StartAttempt]:
-        """Send a request and fire the timer; return the attempts that are started, also for others."""
+        """Send a request and fire the timer; return all attempts that start, also those of other requests."""
         actions = run_event(self.policy, self.counter, now, make_request(request_id))
         attempts = started_attempts(actions + self.policy.handle(now, TimerFired(1)))
         for attempt in attempts:
@@ -154,7 +157,7 @@
         return attempts
 
     def respond(self, now: float) -> None:
-        """Finish the attempts that have had their response by now."""
+        """Finish the attempts whose response time has been reached."""
         responding = [
             entry for entry in self.in_flight if entry[0] <= now and entry[1].endpoint_id != HUNG_ENDPOINT
         ]
@@ -165,20 +168,20 @@
             self.policy.handle(now, finished)
 
 
-def test_a_silent_endpoint_is_avoided_and_its_requests_are_hedged() -> None:
+def test_an_unresponsive_endpoint_is_avoided_and_its_requests_are_hedged() -> None:
     fleet = FleetWithHungEndpoint()
-    late_attempts_at_hung = 0
+    late_attempts_at_hung_endpoint = 0
     hedged_requests = 0
     for request_id in range(200):
         now = START + request_id * 0.05
         for attempt in fleet.send(now, request_id):
             if attempt.endpoint_id == HUNG_ENDPOINT and request_id > 60:
-                late_attempts_at_hung += 1
+                late_attempts_at_hung_endpoint += 1
             if attempt.request_id != request_id:
                 hedged_requests += 1
         fleet.respond(now)
     assert hedged_requests >= 1
-    assert late_attempts_at_hung <= 5
+    assert late_attempts_at_hung_endpoint <= 5
 
 
 def test_a_request_that_no_endpoint_accepted_is_rejected_with_retry_after() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -36,7 +36,7 @@
 
 GATEWAY_COUNT = 40
 ENDPOINT_COUNT = 60
-NEIGHBOURS = 8  # gateways of one customer
+GATEWAYS_PER_CUSTOMER = 8  # consecutive gateways that receive one customer's requests
 
 
 def all_warm(_position: int) -> bool:
@@ -56,15 +56,15 @@
         pytest.param(100, 31, id="100-gateways-31-endpoints"),
     ],
 )
-def test_every_endpoint_has_about_as_many_gateways(gateway_count: int, endpoint_count: int) -> None:
-    gateways_at = Counter(
+def test_all_endpoints_are_in_about_equally_many_subsets(gateway_count: int, endpoint_count: int) -> None:
+    subsets_by_position = Counter(
         position
         for index in range(gateway_count)
         for position in choose_subset(endpoint_count, all_warm, index, gateway_count)
     )
-    assert len(gateways_at) == endpoint_count
-    assert min(gateways_at.values()) >= MIN_GATEWAYS_PER_ENDPOINT - 1
-    assert max(gateways_at.values()) - min(gateways_at.values()) <= 2
+    assert len(subsets_by_position) == endpoint_count
+    assert min(subsets_by_position.values()) >= MIN_GATEWAYS_PER_ENDPOINT - 1
+    assert max(subsets_by_position.values()) - min(subsets_by_position.values()) <= 2
 
 
 @pytest.mark.parametrize(
@@ -76,25 +76,25 @@
         pytest.param(8, 60, id="8-gateways-60-endpoints"),
     ],
 )
-def test_a_small_fleets_subset_is_all_endpoints(gateway_count: int, endpoint_count: int) -> None:
+def test_each_subset_of_a_small_fleet_is_all_endpoints(gateway_count: int, endpoint_count: int) -> None:
     for index in range(gateway_count):
         subset = choose_subset(endpoint_count, all_warm, index, gateway_count)
         assert sorted(subset) == list(range(endpoint_count))
 
 
-def test_neighbouring_gateways_have_different_subsets() -> None:
+def test_the_subsets_of_consecutive_gateways_differ() -> None:
     offsets = [ring_offset(index, GATEWAY_COUNT) for index in range(GATEWAY_COUNT)]
     assert len(set(offsets)) == GATEWAY_COUNT
-    for first in range(GATEWAY_COUNT - NEIGHBOURS):
+    for first in range(GATEWAY_COUNT - GATEWAYS_PER_CUSTOMER):
         positions = {
             position
-            for index in range(first, first + NEIGHBOURS)
+            for index in range(first, first + GATEWAYS_PER_CUSTOMER)
             for position in choose_subset(ENDPOINT_COUNT, all_warm, index, GATEWAY_COUNT)
         }
         assert len(positions) >= 45
 
 
-def test_endpoints_in_slow_start_come_on_top() -> None:
+def test_warming_endpoints_do_not_count_towards_the_subset_size() -> None:
     warm = [position % 3 > 0 for position in range(ENDPOINT_COUNT)]
     for index in range(GATEWAY_COUNT):
         subset = choose_subset(len(warm), warm.__getitem__, index, GATEWAY_COUNT)
@@ -105,11 +105,11 @@
     assert choose_subset(0, all_warm, 3, GATEWAY_COUNT) == []
 
 
-def test_where_all_endpoints_are_cold_the_subset_is_all() -> None:
+def test_the_subset_is_all_endpoints_if_all_are_cold() -> None:
     assert sorted(choose_subset(30, all_cold, 3, GATEWAY_COUNT)) == list(range(30))
 
 
-def test_a_gateway_of_many_uses_few_endpoints_and_others_when_those_are_gone() -> None:
+def test_a_gateway_uses_its_subset_and_other_endpoints_once_these_are_gone() -> None:
     records = [make_record(endpoint_id) for endpoint_id in range(1, ENDPOINT_COUNT + 1)]
     policy = make_policy(records, peers_total=str(GATEWAY_COUNT), me="7")
     counter = FakeCounter()
@@ -129,18 +129,18 @@
 
 
 class CandidateRecorder:
-    """Stands in for LoadBalancer.best_of and compares its candidates to a walk through all endpoints."""
+    """Replaces LoadBalancer.best_of, and compares its candidates to those of a walk through all endpoints."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
         self.best_of = policy.load_balancer.best_of
-        self.candidates: list[list[int]] = []  # of the event that is handled, one list a call
+        self.candidates: list[list[int]] = []  # endpoint ids of each call for the current event
 
     def __call__(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
         endpoints = self.policy.endpoints
         if len(endpoints.subset) < len(endpoints.ready):
-            walk = self.outside_subset(pending) if self.candidates else self.inside_subset(pending)
-            assert endpoint_ids(candidates) == walk
+            expected = self.outside_subset(pending) if self.candidates else self.inside_subset(pending)
+            assert endpoint_ids(candidates) == expected
         self.candidates.append(endpoint_ids(candidates))
         return self.best_of(pending, candidates)
 
@@ -157,15 +157,15 @@
         return [endpoint_id for endpoint_id in endpoint_ids(warm) if endpoint_id not in subset_ids]
 
 
-# A request must not cost what the endpoint list does, and the choice must not change by that: each list of
-# candidates is the one that a walk through all endpoints gives.
+# A request looks only at the endpoints of the subset, because a walk through the whole table is slow.  Guards
+# against a different choice because of that: each list of candidates must equal that of such a walk.
 @given(
     st.lists(st.tuples(st.integers(1, 60), st.sampled_from(EndpointState), st.booleans()), max_size=30),
     st.integers(0, GATEWAY_COUNT - 1),
     st.integers(0, 1 << 16),
 )
 @settings(max_examples=60, deadline=None)
-def test_candidates_are_those_of_a_walk_through_all_endpoints(
+def test_candidates_equal_those_of_a_walk_through_all_endpoints(
     updates: list[tuple[int, EndpointState, bool]], gateway_index: int, seed: int
 ) -> None:
     records = [make_record(endpoint_id, cell=endpoint_id % 3) for endpoint_id in range(1, 41)]
@@ -187,21 +187,21 @@
             policy.handle(now, make_finished(request_id, attempt, Outcome.RESET))
 
 
-def test_a_request_does_not_look_at_endpoints_outside_the_subset() -> None:
-    looks = 0
+def test_a_request_does_not_read_the_records_outside_the_subset() -> None:
+    reads = 0
 
-    class WatchedRecord(EndpointRecord):
-        """A record that counts the looks at it."""
+    class CountingRecord(EndpointRecord):
+        """A record that counts the reads of its endpoint id."""
 
         def __getattribute__(self, name: str) -> Any:
-            nonlocal looks
-            looks += name == "endpoint_id"
+            nonlocal reads
+            reads += name == "endpoint_id"
             return super().__getattribute__(name)
 
     records = [
-        WatchedRecord(endpoint_id, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for endpoint_id in range(1, 2001)
+        CountingRecord(endpoint_id, 0, 0.0, EndpointState.READY, 0, 0, 1.0) for endpoint_id in range(1, 2001)
     ]
     policy = make_policy(records, 1, peers_total="2000", tariffs__0__quota_rate="0")
-    looks = 0
+    reads = 0
     assert started_attempts(policy.handle(START, make_request(1)))
-    assert 0 < looks < 100
+    assert 0 < reads < 100
--- a/tests/policy/test_tick_timer.py
+++ b/tests/policy/test_tick_timer.py
@@ -1,4 +1,4 @@
-"""When the policy asks for its timer."""
+"""The scheduling of the policy's timer."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from tests.support.policy import START
 
 
-def test_a_timer_is_due_after_a_tick_while_a_request_waits() -> None:
+def test_a_timer_is_due_after_one_tick_while_a_request_waits() -> None:
     assert TickTimer().schedule(START, waiting=True) == START + TICK_SECONDS
     assert TickTimer().schedule(START, waiting=False) == START + SLOW_TICK_SECONDS
 
 
-def test_a_timer_that_is_set_in_time_is_not_set_again() -> None:
+def test_no_timer_is_set_while_one_is_due_early_enough() -> None:
     timer = TickTimer()
     timer.schedule(START, waiting=True)
     assert timer.schedule(START + TICK_SECONDS / 2, waiting=True) is None
 
 
-def test_an_earlier_timer_is_set_when_a_request_begins_to_wait() -> None:
+def test_an_earlier_timer_is_set_when_a_request_starts_to_wait() -> None:
     timer = TickTimer()
     timer.schedule(START, waiting=False)
     assert timer.schedule(START, waiting=True) == START + TICK_SECONDS
