--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def policy() -> Policy:
-    """The policy of one of three gateways, with six endpoints and the settings in `BASE`."""
+    """The policy of one of three gateways, with six endpoints and the settings in `BASE_SETTINGS`."""
     return make_policy()
 
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the program reads its configuration again and moves discovery and the counter."""
+"""SIGHUP: the program reloads its configuration, and connects to changed discovery and counter addresses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from gateway.counter.client import CONNECTION_COUNT
 from tests.process.program import RunningProgram, readiness_status, running_program
-from tests.process.services import Services, publish, write_config, write_malformed_config
+from tests.process.services import Services, publish_snapshot, write_config, write_malformed_config
 from tests.support.event_loop import async_test, until
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscoveryAgent
@@ -19,8 +19,8 @@
 
 
 @dataclass
-class Site:
-    """A program, its configuration, and its services before and after a change of addresses."""
+class ReloadSetUp:
+    """The configuration of a program, and its services before and after a change of addresses."""
 
     config_path: Path
     agents: list[FakeDiscoveryAgent] = field(default_factory=lambda: [FakeDiscoveryAgent() for _ in range(2)])
@@ -30,43 +30,49 @@
     counter_addresses: list[str] = field(default_factory=list)
 
     async def start(self, services: Services) -> RunningProgram:
-        """Start the services, and the program with the first agent and the first counter."""
-        self.hosts = await services.hosts([FakeEndpoint()])
-        self.agent_addresses = await services.addresses(self.agents)
-        self.counter_addresses = await services.addresses(self.counters)
+        """Start the services, then the program with the first agent and the first counter."""
+        self.hosts = await services.start_endpoints([FakeEndpoint()])
+        self.agent_addresses = await services.start_servers(self.agents)
+        self.counter_addresses = await services.start_servers(self.counters)
         for agent in self.agents:
-            publish(agent, 1, self.hosts)
+            publish_snapshot(agent, 1, self.hosts)
         self.configure(0)
         program = await services.enter_async_context(running_program(self.config_path))
-        await until(lambda: self.agents[0].open and self.counters[0].opened == CONNECTION_COUNT)
+        await until(
+            lambda: (
+                self.agents[0].open_connections and self.counters[0].accepted_connections == CONNECTION_COUNT
+            )
+        )
         return program
 
     def configure(self, index: int) -> None:
-        """Write the configuration that names the agent and the counter with an index."""
+        """Write a configuration with the addresses of the agent and the counter at an index."""
         write_config(self.config_path, self.hosts, self.counter_addresses[index], self.agent_addresses[index])
 
 
 @async_test
-async def test_sighup_moves_discovery_and_counter_and_a_malformed_file_changes_nothing(
+async def test_sighup_applies_changed_addresses_and_ignores_a_malformed_file(
     config_path: Path,
 ) -> None:
-    """Neither SIGHUP nor a malformed file may end the process or leave it without addresses."""
-    site = Site(config_path)
-    agents = site.agents
-    counters = site.counters
+    """Neither SIGHUP nor a malformed file may terminate the process or disconnect its services."""
+    setup = ReloadSetUp(config_path)
+    agents = setup.agents
+    counters = setup.counters
     async with Services() as services:
-        process, port = await site.start(services)
+        process, port = await setup.start(services)
         write_malformed_config(config_path)
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         assert b"configuration unchanged" in await process.stderr.readline()
-        assert agents[0].open
+        assert agents[0].open_connections
         assert await readiness_status(port) == 200
 
-        site.configure(1)
+        setup.configure(1)
         process.send_signal(signal.SIGHUP)
-        await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
-        await until(lambda: counters[1].opened == CONNECTION_COUNT and not counters[0].open)
+        await until(lambda: len(agents[1].targets) == 2 and not agents[0].open_connections)
+        await until(
+            lambda: counters[1].accepted_connections == CONNECTION_COUNT and not counters[0].open_connections
+        )
         assert await readiness_status(port) == 200
         assert process.returncode is None
         process.send_signal(signal.SIGTERM)
