--- a/gateway/config/section.py
+++ b/gateway/config/section.py
@@ -32,7 +32,7 @@
         return self.convert(key, self._values[key], convert)
 
     def convert(self, key: str, value: object, convert: Callable[[Any], Converted]) -> Converted:
-        """Convert a value, which may come from elsewhere than this section; an error names it by `key`.
+        """Convert a value, which may be an environment variable or a default; an error names it by `key`.
 
         Raises:
             InvalidValueError: The value cannot be converted.
--- a/gateway/discovery/endpoint_decoder.py
+++ b/gateway/discovery/endpoint_decoder.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
 HEX_ID_PREFIX = "s"  # of a host name that contains the endpoint id
-HEX_ID_DIGITS = 8
+HEX_ID_LENGTH = 8  # in digits
 HEX_DIGITS = frozenset("0123456789abcdef")
 ENDPOINT_ID_BYTES = 4
 MILLISECONDS_PER_SECOND = 1000
@@ -48,7 +48,7 @@
     hashed.
     """
     prefix, _, digits = name.partition("-")
-    if prefix == HEX_ID_PREFIX and len(digits) == HEX_ID_DIGITS and set(digits) <= HEX_DIGITS:
+    if prefix == HEX_ID_PREFIX and len(digits) == HEX_ID_LENGTH and set(digits) <= HEX_DIGITS:
         return int(digits, 16)
     return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
--- a/gateway/discovery/endpoint_watch.py
+++ b/gateway/discovery/endpoint_watch.py
@@ -79,7 +79,7 @@
         """Publish a snapshot and make its connection the active one.
 
         All other connections are closed: a snapshot that is still being received on one of them may be older
-        and must not replace this one.  Returns false, and does nothing, if the document is not a snapshot.
+        and must not replace this one.  Returns false, and changes nothing, if the document is not a snapshot.
         """
         decoded = self._decode(document)
         if decoded is None or decoded.update.kind is not UpdateKind.SNAPSHOT:
@@ -109,7 +109,7 @@
         return True
 
     def _is_outdated(self, update: EndpointUpdate) -> bool:
-        """Return whether an update is outdated; a snapshot of the current version may still differ."""
+        """Return whether an update is outdated; a snapshot of the current version is not: it may differ."""
         if update.kind is UpdateKind.DELTA:
             return update.version <= self.version
         return update.version < self.version
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -19,7 +19,7 @@
     """A discovery agent.
 
     Attributes:
-        watch_lines: The lines sent on each watch, one chunk a line; lines appended later are sent as well.
+        watch_lines: The lines sent on each watch, one chunk per line; lines appended later are sent as well.
         targets: The targets of all requests received.
         snapshot: The response to a request for the snapshot.
     """
