--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -143,8 +143,7 @@
         await received.until_version(7)
 
 
-# Guards against waiting for a snapshot that arrives in small pieces without end: other connections are
-# attempted.
+# Guards against waiting for a snapshot that arrives in small pieces without end.
 @async_test
 async def test_an_attempt_with_a_slow_snapshot_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_set, "SNAPSHOT_TIMEOUT_SECONDS", 0.3)
