--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -8,7 +8,7 @@
 
 from gateway.counter.client import CONNECTION_COUNT
 from tests.process.program import RunningProgram, readiness_status, running_program
-from tests.process.services import Services, publish, write_config, write_malformed_config
+from tests.process.services import Services, publish_snapshot, write_config, write_malformed_config
 from tests.support.event_loop import async_test, until
 from tests.support.fake_counter import FakeCounter
 from tests.support.fake_discovery import FakeDiscoveryAgent
@@ -31,14 +31,18 @@
 
     async def start(self, services: Services) -> RunningProgram:
         """Start the services, then the program with the first agent and the first counter."""
-        self.hosts = await services.hosts([FakeEndpoint()])
-        self.agent_addresses = await services.addresses(self.agents)
-        self.counter_addresses = await services.addresses(self.counters)
+        self.hosts = await services.start_endpoints([FakeEndpoint()])
+        self.agent_addresses = await services.start_servers(self.agents)
+        self.counter_addresses = await services.start_servers(self.counters)
         for agent in self.agents:
-            publish(agent, 1, self.hosts)
+            publish_snapshot(agent, 1, self.hosts)
         self.configure(0)
         program = await services.enter_async_context(running_program(self.config_path))
-        await until(lambda: self.agents[0].open and self.counters[0].opened == CONNECTION_COUNT)
+        await until(
+            lambda: (
+                self.agents[0].open_connections and self.counters[0].accepted_connections == CONNECTION_COUNT
+            )
+        )
         return program
 
     def configure(self, index: int) -> None:
@@ -60,13 +64,15 @@
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         assert b"configuration unchanged" in await process.stderr.readline()
-        assert agents[0].open
+        assert agents[0].open_connections
         assert await readiness_status(port) == 200
 
         setup.configure(1)
         process.send_signal(signal.SIGHUP)
-        await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
-        await until(lambda: counters[1].opened == CONNECTION_COUNT and not counters[0].open)
+        await until(lambda: len(agents[1].targets) == 2 and not agents[0].open_connections)
+        await until(
+            lambda: counters[1].accepted_connections == CONNECTION_COUNT and not counters[0].open_connections
+        )
         assert await readiness_status(port) == 200
         assert process.returncode is None
         process.send_signal(signal.SIGTERM)
