--- a/tests/driver/test_event_queue.py
+++ b/tests/driver/test_event_queue.py
@@ -1,4 +1,4 @@
-"""The event queue: the order in which events are processed, and errors while one is processed."""
+"""The event queue: the order of processing, and exceptions during the processing of an event."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 THIRD = TimerFired(3)
 
 
-# Guards against an event that the policy gets in the middle of the actions for another one.
-def test_an_event_that_is_delivered_during_another_is_processed_behind_it() -> None:
+# Guards against an event that reaches the policy before all actions for the previous event are executed.
+def test_event_delivered_while_another_is_processed_is_processed_after_it() -> None:
     steps: list[tuple[str, Event]] = []
 
     def process(event: Event) -> None:
-        steps.append(("begun", event))
+        steps.append(("started", event))
         if event is FIRST:
             queue.deliver(SECOND)
             queue.deliver(THIRD)
-        steps.append(("ended", event))
+        steps.append(("finished", event))
 
     queue = EventQueue(process)
     queue.deliver(FIRST)
-    assert steps == [(step, event) for event in (FIRST, SECOND, THIRD) for step in ("begun", "ended")]
+    assert steps == [(step, event) for event in (FIRST, SECOND, THIRD) for step in ("started", "finished")]
 
 
-# Guards against a queue that stops for good behind an error.
-def test_events_are_processed_after_an_error() -> None:
+# Guards against a queue that stays marked as processing after an exception and never processes again.
+def test_events_are_processed_after_an_exception() -> None:
     processed: list[Event] = []
 
     def process(event: Event) -> None:
         if event is FIRST:
-            raise RuntimeError("a bug")
+            raise RuntimeError("simulated bug")
         processed.append(event)
 
     queue = EventQueue(process)
--- a/tests/driver/test_policy_driver.py
+++ b/tests/driver/test_policy_driver.py
@@ -1,4 +1,4 @@
-"""The policy driver: errors of the policy, timers, and actions that the process does not support."""
+"""The policy driver: exceptions in the policy, timers, and actions that the process does not support."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     import pytest
 
 TIMER_COUNT = 40
-TIMER_INTERVAL_SECONDS = 0.0017  # no whole number of the loop's milliseconds
+TIMER_INTERVAL_SECONDS = 0.0017  # not a multiple of the millisecond, the event loop's timer resolution
 
 
-def test_error_in_the_policy_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_the_policy_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
     async def send_requests() -> None:
         def react(event: Any) -> list[Action]:
             if isinstance(event, Request) and event.class_index == 0:
-                raise RuntimeError("a bug")
+                raise RuntimeError("simulated bug")
             if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
-                raise RuntimeError("another")
+                raise RuntimeError("another simulated bug")
             return forward_to_first(event)
 
         endpoint = FakeEndpoint(lambda _: http_response(500 if len(endpoint.seen) == 1 else 200))
         async with gateway_with_client(endpoint, react=react) as gateway:
-            assert (await gateway.client.send_request(0)).status == 503  # it never ran
-            assert (await gateway.client.send_request(2)).status == 502  # it may have run
+            assert (await gateway.client.send_request(0)).status == 503  # the request never ran
+            assert (await gateway.client.send_request(2)).status == 502  # the request may have run
             assert (await gateway.client.send_request(2)).status == 200
             assert not gateway.process.driver.open_requests
 
@@ -42,15 +42,17 @@
 
 @async_test
 async def test_timers_never_fire_early() -> None:
-    """The policy forgets a timer that fires early, and would do nothing until its next event."""
-    due: dict[int, float] = {}  # by token
+    """The policy ignores a timer that fires early, and would then do nothing until its next event."""
+    due_at: dict[int, float] = {}  # Unix time in seconds, by token
     fired_at: dict[int, float] = {}
 
     def react(event: Any) -> list[Action]:
         driver = gateway.process.driver
         if isinstance(event, Request):
-            due.update({token: driver.now + token * TIMER_INTERVAL_SECONDS for token in range(TIMER_COUNT)})
-            return [SetTimer(at, token) for token, at in due.items()]
+            due_at.update(
+                {token: driver.now + token * TIMER_INTERVAL_SECONDS for token in range(TIMER_COUNT)}
+            )
+            return [SetTimer(at, token) for token, at in due_at.items()]
         if isinstance(event, TimerFired):
             fired_at[event.token] = driver.now
         return []
@@ -58,10 +60,10 @@
     async with gateway_with_client(UNREACHABLE, react=react) as gateway:
         gateway.client.writer.write(gateway.client.encode_request())
         await until(lambda: len(fired_at) == TIMER_COUNT)
-        assert all(at >= due[token] for token, at in fired_at.items())
+        assert all(at >= due_at[token] for token, at in fired_at.items())
 
 
-def test_unsupported_actions_are_logged_once_a_type(caplog: pytest.LogCaptureFixture) -> None:
+def test_unsupported_actions_are_logged_once_per_type(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
 
     async def send_request() -> None:
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -1,4 +1,4 @@
-"""What clients send around and behind invalid requests, over loopback sockets."""
+"""Invalid requests and the bytes that follow them, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from tests.support.gateway import UNREACHABLE, gateway_with_client
 from tests.support.http_messages import read_message
 
-DISCARD_COUNT = 20  # how often the limit of discarded bytes is sent
+DISCARD_COUNT = 20  # number of times that the client sends MAX_DISCARDED_BYTES
 
 
-# Guards against request smuggling.
+# Guards against request smuggling: an endpoint could take the end of the body from the other header.
 @pytest.mark.parametrize(
     "length_first", [pytest.param(True, id="length first"), pytest.param(False, id="coding first")]
 )
@@ -26,7 +26,9 @@
     ],
 )
 @async_test
-async def test_a_length_beside_a_transfer_coding_is_rejected(*, length_first: bool, coding: bytes) -> None:
+async def test_content_length_with_transfer_encoding_is_rejected(
+    *, length_first: bool, coding: bytes
+) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         head = gateway.client.encode_request(2, Content_Length="").removesuffix(b"\r\n")
         pair = [b"Content-Length: 5\r\n", b"Transfer-Encoding: " + coding + b"\r\n"]
@@ -39,10 +41,10 @@
         assert not gateway.policy.events
 
 
-# Guards against the loss of the response to a reset, which follows when a connection is closed on unread
-# bytes.
+# Guards against an error response that the client never sees: closing a connection with unread bytes makes
+# the system send a reset, which can overtake the response.
 @async_test
-async def test_bytes_behind_an_error_do_not_reset_its_response() -> None:
+async def test_bytes_after_an_error_do_not_reset_its_response() -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         gateway.client.writer.write(
             gateway.client.encode_request(2, Content_Length=str(DISCARD_COUNT * MAX_DISCARDED_BYTES))
@@ -56,9 +58,9 @@
         assert gateway.process.listener.budget.buffered_bytes == 0
 
 
-# Guards against taking a request whose response can no longer be sent.
+# Guards against accepting a request whose response can no longer be sent.
 @async_test
-async def test_no_request_is_taken_behind_the_last_response(caplog: pytest.LogCaptureFixture) -> None:
+async def test_no_request_is_accepted_after_the_last_response(caplog: pytest.LogCaptureFixture) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         gateway.process.listener.connection_table.max_connections = 0
         gateway.client.writer.write(gateway.client.encode_request() + gateway.client.encode_request())
--- a/tests/frontend/test_http_response.py
+++ b/tests/frontend/test_http_response.py
@@ -1,4 +1,4 @@
-"""The bytes of the responses to clients."""
+"""The encoding of responses to clients."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
                 b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.250\r\n"
                 b"Connection: close\r\n\r\n"
             ),
-            id="rejection on the last response",
+            id="rejection that closes the connection",
         ),
     ],
 )
@@ -55,7 +55,5 @@
         pytest.param(UnavailableError("x"), 503, 1.0, id="unavailable"),
     ],
 )
-def test_the_type_of_an_error_decides_its_status(
-    error: FrontendError, status: int, retry_after: float
-) -> None:
+def test_error_type_decides_the_status(error: FrontendError, status: int, retry_after: float) -> None:
     assert error_response(error) == Response(status, b"x\n", retry_after=retry_after)
--- a/tests/frontend/test_listener.py
+++ b/tests/frontend/test_listener.py
@@ -1,4 +1,4 @@
-"""Bounds on connections, their times and what is buffered for them, over loopback sockets."""
+"""Limits on client connections, their timeouts and their buffered bytes, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 @pytest.fixture
 def fast_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Check the times of connections often."""
+    """Check the timeouts of connections often."""
     monkeypatch.setattr(connection_table, "TIMEOUT_SWEEP_SECONDS", SHORT_SWEEP_SECONDS)
 
 
-# Guards against two requests with one id at the endpoints, and against a response to the wrong client.
+# Guards against endpoints that get two requests with the same id, and a response to the wrong client.
 @async_test
-async def test_a_request_id_that_is_open_is_rejected() -> None:
+async def test_duplicate_request_id_is_rejected() -> None:
     received: list[Request] = []
 
     def react(event: Any) -> list[Action]:
@@ -49,16 +49,16 @@
         HttpClient(gateway.listener) as second,
         HttpClient(gateway.listener) as third,
     ):
-        first.writer.write(first.encode_request(Request_Id="taken"))
+        first.writer.write(first.encode_request(Request_Id="open"))
         await until(lambda: received)
-        assert (await second.send_request(Request_Id="taken")).status == 409
+        assert (await second.send_request(Request_Id="open")).status == 409
         assert len(received) == 1
         third.writer.write(third.encode_request(Request_Id="other"))
         assert (await read_message(first.reader)).status == 503
         assert gateway.listener.budget.open_request_ids == {b"other"}
 
 
-# Guards against connections that send nothing, or a request byte by byte: each takes a descriptor.
+# Guards against connections that use a descriptor without ever sending a complete request.
 @pytest.mark.parametrize(
     "sent",
     [
@@ -69,7 +69,7 @@
 )
 @pytest.mark.usefixtures("fast_sweep")
 @async_test
-async def test_a_request_that_is_not_complete_in_time_gets_an_error_or_a_close(
+async def test_connection_is_closed_when_its_request_is_not_complete_in_time(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connection_table, "READ_TIMEOUT_SECONDS", SHORT_TIMEOUT_SECONDS)
@@ -87,7 +87,7 @@
 
 @pytest.mark.usefixtures("fast_sweep")
 @async_test
-async def test_a_client_that_does_not_close_behind_an_error_is_closed(
+async def test_connection_is_closed_when_its_client_keeps_it_open_after_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_table, "HALF_CLOSED_TIMEOUT_SECONDS", SHORT_TIMEOUT_SECONDS)
@@ -96,28 +96,29 @@
         await until(lambda: not gateway.process.listener.connection_table.connections)
 
 
-# Guards clients that send requests against hundreds of connections that send nothing.
+# Guards against hundreds of connections that send nothing and leave no connections to other clients.
 @async_test
 async def test_silent_connections_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_table, "EVICTION_GRACE_SECONDS", 0.0)
     async with gateway_with_client(FakeEndpoint()) as gateway:
         table = gateway.process.listener.connection_table
         table.max_connections = MAX_CONNECTIONS
-        usual = gateway.client
-        assert (await usual.send_request()).status == 200
-        silent = [await asyncio.open_connection(LOOPBACK, usual.port) for _ in range(SILENT_COUNT)]
+        active = gateway.client
+        assert (await active.send_request()).status == 200
+        silent = [await asyncio.open_connection(LOOPBACK, active.port) for _ in range(SILENT_COUNT)]
         await until(lambda: len(table.connections) == MAX_CONNECTIONS)
         async with HttpClient(gateway.process.listener) as new:
             assert (await new.send_request()).status == 200
-        assert (await usual.send_request()).status == 200  # recently used, so others were evicted
+        assert (await active.send_request()).status == 200  # recently used, so others were evicted
         for _, writer in silent:
             writer.close()
 
 
-# Guards new clients against a full table of connections that sent one request and stay: the incident r76ab84.
+# Guards against new clients that are rejected because the table is full of connections which sent one request
+# and then stayed idle (incident r76ab84).
 @pytest.mark.usefixtures("fast_sweep")
 @async_test
-async def test_idle_connections_are_closed_early_once_half_of_all_are_open(
+async def test_idle_connections_are_closed_early_in_a_crowded_table(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_table, "CROWDED_IDLE_TIMEOUT_SECONDS", SHORT_TIMEOUT_SECONDS)
@@ -132,17 +133,19 @@
         await until(lambda: not gateway.listener.connection_table.connections)
 
 
-# Guards against memory that is held for bodies which are never complete.
+# Guards against unbounded memory for bodies that are never complete.
 @async_test
-async def test_the_bytes_of_incomplete_bodies_are_bounded_together() -> None:
+async def test_total_bytes_of_incomplete_bodies_are_limited() -> None:
     async with running_gateway(UNREACHABLE, react=do_nothing) as (gateway, policy):
         budget = gateway.listener.budget
         budget.max_buffered_bytes = MAX_BUFFERED_BYTES
         async with HttpClient(gateway.listener) as first, HttpClient(gateway.listener) as second:
-            half = first.encode_request(NON_IDEMPOTENT_CLASS, Content_Length="2000") + PART_OF_A_BODY
-            first.writer.write(half)
+            incomplete_request = (
+                first.encode_request(NON_IDEMPOTENT_CLASS, Content_Length="2000") + PART_OF_A_BODY
+            )
+            first.writer.write(incomplete_request)
             await until(lambda: budget.buffered_bytes == len(PART_OF_A_BODY))
-            response = await second.send(half)
+            response = await second.send(incomplete_request)
             assert response.status == 503
             assert "retry-after" in response.headers
         await until(lambda: budget.buffered_bytes == 0)
--- a/tests/frontend/test_request_budget.py
+++ b/tests/frontend/test_request_budget.py
@@ -1,4 +1,4 @@
-"""What is held for requests: bytes of bodies and open request ids."""
+"""The reservations of body bytes and request ids."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
     return RequestBudget(MAX_BUFFERED_BYTES)
 
 
-# Guards against bytes that are counted for ever: a body that exceeds the bound is counted until its release.
-def test_a_body_beyond_the_bound_is_an_error_and_is_released_with_the_rest(budget: RequestBudget) -> None:
+# Guards against a counter that is wrong for good: also the bytes that exceed the limit are counted, and
+# released with the rest of the body.
+def test_body_beyond_the_limit_is_rejected_and_released_completely(budget: RequestBudget) -> None:
     body = BodyReservation(budget)
     body.grow(MAX_BUFFERED_BYTES)
     with pytest.raises(UnavailableError):
@@ -27,7 +28,7 @@
 
 
 # Guards against bytes that are released twice, by the connection and by the request.
-def test_a_request_holds_the_bytes_of_its_body_until_it_is_released(budget: RequestBudget) -> None:
+def test_request_reserves_the_bytes_of_its_body_until_it_is_released(budget: RequestBudget) -> None:
     body = BodyReservation(budget)
     body.grow(10)
     request = RequestReservation(budget, b"one", body)
@@ -39,7 +40,7 @@
     assert not budget.open_request_ids
 
 
-def test_the_body_of_a_duplicate_request_stays_with_its_connection(budget: RequestBudget) -> None:
+def test_body_of_a_duplicate_request_stays_with_its_connection(budget: RequestBudget) -> None:
     RequestReservation(budget, b"one", BodyReservation(budget))
     body = BodyReservation(budget)
     body.grow(10)
--- a/tests/frontend/test_request_metadata.py
+++ b/tests/frontend/test_request_metadata.py
@@ -1,4 +1,4 @@
-"""What a request's headers and target have to be, and the exact text that answers one which is not so."""
+"""The checks of a request's headers and target, and the exact text of the error responses."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 def test_metadata_of_a_valid_request(parser: RequestMetadataParser) -> None:
-    found = parser.parse(b"GET", TARGET, list(HEADERS.items()))
-    assert found == RequestMetadata(
+    metadata = parser.parse(b"GET", TARGET, list(HEADERS.items()))
+    assert metadata == RequestMetadata(
         request_id=b"one",
         class_index=0,
         plan_index=1,
@@ -48,20 +48,20 @@
         pytest.param(b"%63ustomer=00000001ffffffff&customers=", id="escaped"),
     ],
 )
-def test_the_customer_may_stand_among_other_fields(parser: RequestMetadataParser, query: bytes) -> None:
+def test_customer_is_found_among_other_query_parameters(parser: RequestMetadataParser, query: bytes) -> None:
     assert parser.parse(b"GET", b"/class-0?" + query, list(HEADERS.items())).customer == (1 << 33) - 1
 
 
-def test_a_client_retry_is_marked_as_one(parser: RequestMetadataParser) -> None:
+def test_client_retry_header_marks_a_retry(parser: RequestMetadataParser) -> None:
     assert parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"client-retry", b"1")]).is_retry
 
 
-def test_the_timeout_is_at_most_the_deadline_of_the_class(parser: RequestMetadataParser) -> None:
+def test_timeout_is_at_most_the_deadline_of_the_class(parser: RequestMetadataParser) -> None:
     headers = HEADERS | {b"request-timeout": b"60000m"}
     assert parser.parse(b"GET", TARGET, list(headers.items())).timeout == 4.0
 
 
-# Guards the texts that clients get.
+# Guards the bodies of the error responses that clients receive.
 @pytest.mark.parametrize(
     ("header", "value", "text"),
     [
@@ -80,7 +80,7 @@
         ),
     ],
 )
-def test_the_text_of_an_error_names_the_header(
+def test_error_text_names_the_header(
     parser: RequestMetadataParser, header: bytes, value: bytes, text: str
 ) -> None:
     headers = HEADERS | {header: value}
@@ -122,7 +122,7 @@
         ),
     ],
 )
-def test_the_text_of_an_error_names_the_part_of_the_target(
+def test_error_text_names_the_part_of_the_target(
     parser: RequestMetadataParser, target: bytes, kind: type[FrontendError], text: str
 ) -> None:
     with pytest.raises(kind) as error:
@@ -130,14 +130,14 @@
     assert str(error.value) == text
 
 
-def test_a_repeated_header_that_counts_is_rejected(parser: RequestMetadataParser) -> None:
+def test_repeated_singleton_header_is_rejected(parser: RequestMetadataParser) -> None:
     with pytest.raises(BadRequestError) as error:
         parser.parse(b"GET", TARGET, [*HEADERS.items(), (b"x-tier", b"plan-0")])
     assert str(error.value) == "repeated header that may occur only once"
 
 
-# Guards the policy and customers' quotas against terms that the protocol or the settings do not allow; the
-# connection is closed, as its descriptor is of use to others.
+# Guards the policy and customers' quotas against terms that the protocol or the settings do not allow.  The
+# connection is closed too, so that its descriptor is free for other clients.
 @pytest.mark.parametrize(
     "terms",
     [
@@ -162,7 +162,7 @@
     ],
 )
 @async_test
-async def test_call_terms_out_of_range_are_rejected(terms: str) -> None:
+async def test_invalid_call_terms_are_rejected(terms: str) -> None:
     async with gateway_with_client(UNREACHABLE, extra__most_units="2") as gateway:
         assert (await gateway.client.send_request(X_Call_Terms=terms)).status == 400
         assert await gateway.client.reader.read() == b""
@@ -188,10 +188,10 @@
     ],
 )
 @async_test
-async def test_targets_that_could_be_read_in_two_ways_are_rejected(target: bytes) -> None:
+async def test_invalid_and_ambiguous_targets_are_rejected(target: bytes) -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
-        good = gateway.client.encode_request()
-        bad = good.replace(b"/class-0?customer=0000000000000005", target)
-        assert bad != good
-        assert (await gateway.client.send(bad)).status in (400, 404)
+        valid = gateway.client.encode_request()
+        invalid = valid.replace(b"/class-0?customer=0000000000000005", target)
+        assert invalid != valid
+        assert (await gateway.client.send(invalid)).status in (400, 404)
         assert not gateway.policy.events
--- a/tests/frontend/test_request_reader.py
+++ b/tests/frontend/test_request_reader.py
@@ -1,4 +1,4 @@
-"""The reader of requests, fed with bytes at once and in parts, without sockets."""
+"""The request reader, fed with complete and partial requests, without sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RecordingHandler:
-    """Records the calls of the reader, and raises an error for a complete request if it is given one."""
+    """Records the calls of the reader, and raises `error`, if set, for each complete request."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -72,7 +72,7 @@
         pytest.param(1000, id="at once"),
     ],
 )
-def test_a_request_is_received_with_its_last_byte(
+def test_request_is_received_with_its_last_byte(
     reader: RequestReader, handler: RecordingHandler, size: int
 ) -> None:
     for start in range(0, len(POST), size):
@@ -90,26 +90,24 @@
     assert reader.unparsed_bytes == 0
 
 
-def test_pipelined_requests_are_received_in_their_order(
-    reader: RequestReader, handler: RecordingHandler
-) -> None:
+def test_pipelined_requests_are_received_in_order(reader: RequestReader, handler: RecordingHandler) -> None:
     reader.feed(GET + POST + GET[:5])
     assert [request.method for request in handler.requests] == [b"GET", b"POST"]
     assert reader.is_receiving
 
 
-def test_connection_close_is_told(reader: RequestReader, handler: RecordingHandler) -> None:
+def test_connection_close_header_is_reported(reader: RequestReader, handler: RecordingHandler) -> None:
     reader.feed(b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n")
     assert not handler.requests[0].keep_alive
 
 
-def test_the_client_may_wait_to_be_told_to_continue(reader: RequestReader, handler: RecordingHandler) -> None:
+def test_expect_continue_header_is_reported(reader: RequestReader, handler: RecordingHandler) -> None:
     reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 4\r\nExpect: 100-Continue\r\n\r\n")
     assert handler.events == ["started", "continue"]
 
 
-# Guards against a trailer that stands in for a header which is absent.
-def test_trailers_are_no_headers(reader: RequestReader, handler: RecordingHandler) -> None:
+# Guards against a trailer that replaces a missing header.
+def test_trailers_are_not_treated_as_headers(reader: RequestReader, handler: RecordingHandler) -> None:
     reader.feed(
         b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n0\r\nRequest-Id: one\r\n\r\n"
     )
@@ -118,11 +116,11 @@
     assert request.body == b"some"
 
 
-# Guards the text and status that clients get for what cannot be read; sizes are just over their limits.
+# Guards the status and body of the error responses to malformed requests; sizes are just over their limits.
 @pytest.mark.parametrize(
     ("data", "kind", "text"),
     [
-        pytest.param(b"nonsense\r\n\r\n", BadRequestError, "malformed request", id="noise"),
+        pytest.param(b"nonsense\r\n\r\n", BadRequestError, "malformed request", id="not HTTP"),
         pytest.param(UPGRADE, BadRequestError, "protocol upgrades are not supported", id="upgrade"),
         pytest.param(LONG_TARGET, BadRequestError, "header too large", id="target"),
         pytest.param(LONG_HEADER, BadRequestError, "header too large", id="header"),
@@ -131,7 +129,7 @@
         pytest.param(EMPTY_LINES, BadRequestError, "too many bytes before a request", id="empty lines"),
     ],
 )
-def test_what_is_no_valid_request_is_an_error(
+def test_invalid_request_raises_an_error(
     reader: RequestReader, data: bytes, kind: type[FrontendError], text: str
 ) -> None:
     with pytest.raises(kind) as error:
@@ -139,30 +137,32 @@
     assert str(error.value) == text
 
 
-def test_an_error_of_the_handler_ends_the_reading(reader: RequestReader, handler: RecordingHandler) -> None:
-    handler.error = UnavailableError("no more")
+def test_error_raised_by_the_handler_stops_the_parsing(
+    reader: RequestReader, handler: RecordingHandler
+) -> None:
+    handler.error = UnavailableError("simulated")
     with pytest.raises(UnavailableError) as error:
         reader.feed(GET + GET)
     assert error.value is handler.error
     assert len(handler.requests) == 1
 
 
-# Guards against a request that is taken behind the last response on its connection.
-def test_nothing_is_received_once_the_reader_is_closed(
+# Guards against accepting a request after the last response on its connection.
+def test_no_request_is_received_after_the_reader_is_closed(
     reader: RequestReader, handler: RecordingHandler, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def receive_last(request: ReceivedRequest) -> None:
+    def receive_and_close(request: ReceivedRequest) -> None:
         handler.requests.append(request)
         reader.close()
 
-    monkeypatch.setattr(handler, "request_received", receive_last)
+    monkeypatch.setattr(handler, "request_received", receive_and_close)
     with pytest.raises(BadRequestError):
         reader.feed(GET + GET)
     assert len(handler.requests) == 1
     assert reader.is_closed
 
 
-def test_a_closed_reader_stays_closed_when_its_request_is_complete(
+def test_closed_reader_stays_closed_when_its_request_is_complete(
     reader: RequestReader, handler: RecordingHandler
 ) -> None:
     reader.feed(GET[:-1])
@@ -172,7 +172,7 @@
     assert reader.is_closed
 
 
-def test_discarded_bytes_pause_the_client_now_and_then(reader: RequestReader) -> None:
+def test_reading_pauses_each_time_the_limit_of_discarded_bytes_is_exceeded(reader: RequestReader) -> None:
     reader.close()
     assert not reader.discard(MAX_DISCARDED_BYTES)
     assert reader.discard(1)
