--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts through a gateway: the outcomes that the policy is told, and when a further attempt may start."""
+"""Attempts through a gateway: the outcomes reported to the policy, and when a further attempt may start."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-POLL_TIMER = 1  # the token of a timer that fires at once
-CUT_OFF_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf"
+POLL_TIMER = 1  # token of a timer that is set to fire at once
+TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf"
 
 
 @contextlib.contextmanager
 def listener_with_full_backlog() -> Iterator[str]:
-    """The address of a listener that accepts nothing: further connections to it hang."""
+    """Yield the address of a listener with a full backlog, so that further connections to it hang."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((LOOPBACK, 0))
@@ -48,10 +48,10 @@
         pytest.param(http_response(500), Outcome.ERROR, id="status 500"),
         pytest.param(http_response(503, Not_Started="1"), Outcome.OVERLOADED, id="503 not started"),
         pytest.param(http_response(504, Not_Started="1"), Outcome.OVERLOADED, id="504 not started"),
-        pytest.param(http_response(503), Outcome.ERROR, id="503 without proof that it never ran"),
-        pytest.param(CLOSED_WITHOUT_RESPONSE, Outcome.RESET, id="closed behind the complete request"),
-        pytest.param(CUT_OFF_RESPONSE, Outcome.RESET, id="closed within the response"),
-        pytest.param(b"what?\r\n\r\n", Outcome.ERROR, id="framing lost, and it may have run"),
+        pytest.param(http_response(503), Outcome.ERROR, id="503 without Not-Started"),
+        pytest.param(CLOSED_WITHOUT_RESPONSE, Outcome.RESET, id="closed after the complete request"),
+        pytest.param(TRUNCATED_RESPONSE, Outcome.RESET, id="closed within the response"),
+        pytest.param(b"what?\r\n\r\n", Outcome.ERROR, id="malformed response"),
     ],
 )
 @async_test
@@ -60,7 +60,7 @@
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [outcome]
-        assert len(endpoint.seen) == 1  # nothing is retried unless the policy says so
+        assert len(endpoint.seen) == 1  # the driver retries nothing by itself
 
 
 @pytest.mark.parametrize(
@@ -71,12 +71,12 @@
     ],
 )
 @async_test
-async def test_request_that_was_not_written_completely_never_ran(
+async def test_attempt_that_is_not_written_completely_never_ran(
     *, has_unsent_bytes: bool, outcome: Outcome
 ) -> None:
-    """The transport pauses its protocol while bytes are left.
+    """The transport calls `pause_writing` while bytes are unsent.
 
-    64 KiB always fit into the buffers of loopback sockets, so the test pauses it in the transport's place.
+    The buffers of loopback sockets always have room for 64 KiB, so the test calls it instead.
     """
     endpoint = FakeEndpoint(keep_silent)
     async with gateway_with_client(endpoint) as gateway:
@@ -91,7 +91,7 @@
 
 
 @async_test
-async def test_refused_connection_means_that_the_attempt_never_ran() -> None:
+async def test_attempt_with_a_refused_connection_never_ran() -> None:
     async with listening(FakeEndpoint().handle) as address:
         pass
     async with gateway_with_client(address) as gateway:
@@ -100,7 +100,7 @@
 
 
 @async_test
-async def test_connection_that_hangs_ends_with_the_connect_timeout() -> None:
+async def test_hanging_connection_attempt_ends_at_the_connect_timeout() -> None:
     with listener_with_full_backlog() as address:
         async with gateway_with_client(address) as gateway:
             started_at = time.monotonic()
@@ -110,7 +110,7 @@
 
 
 @async_test
-async def test_stale_pooled_connection_ends_as_reset_without_a_retry() -> None:
+async def test_attempt_on_a_stale_pooled_connection_is_a_reset_and_not_retried() -> None:
     def respond_once(_message: Message) -> bytes:
         return http_response(body=b"x") if len(endpoint.seen) == 1 else CLOSED_WITHOUT_RESPONSE
 
@@ -123,11 +123,16 @@
         assert len(endpoint.seen) == 2
 
 
-class RetryOnSecond:
-    """A script: the first attempt is abandoned, by its timeout or a cancellation, and then replaced."""
+class RetryOnSecondEndpoint:
+    """A script that abandons the first attempt, by its timeout or a cancellation, and retries the request.
 
-    def __init__(self, first: FakeEndpoint, attempt_timeout: float) -> None:
-        self.first = first
+    Attributes:
+        first_endpoint: Receives the first attempt.
+        attempt_timeout: Timeout of the first attempt in seconds; 0 cancels the attempt instead.
+    """
+
+    def __init__(self, first_endpoint: FakeEndpoint, attempt_timeout: float) -> None:
+        self.first_endpoint = first_endpoint
         self.attempt_timeout = attempt_timeout
 
     def react(self, event: Any) -> list[Action]:
@@ -137,8 +142,8 @@
                 SetTimer(0.0, POLL_TIMER),
             ]
         if isinstance(event, TimerFired) and not self.attempt_timeout:
-            # Not before the endpoint has the complete request: until then it is not in flight.
-            return [Cancel(1, 0)] if self.first.seen else [SetTimer(0.0, POLL_TIMER)]
+            # An attempt is in flight only once the endpoint has the complete request.
+            return [Cancel(1, 0)] if self.first_endpoint.seen else [SetTimer(0.0, POLL_TIMER)]
         if isinstance(event, AttemptFinished) and event.attempt == 0:
             return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
         return []
@@ -152,28 +157,28 @@
     ],
 )
 @async_test
-async def test_abandoned_attempt_has_ended_before_the_retry(attempt_timeout: float, outcome: Outcome) -> None:
-    """Without hedging two attempts must never be in flight: the first one's connection ends first."""
-    open_at_retry: list[int] = []
+async def test_abandoned_attempt_ends_before_the_retry(attempt_timeout: float, outcome: Outcome) -> None:
+    """Without hedging, two attempts must never be in flight at the same time."""
+    open_connections_at_retry: list[int] = []
 
     def respond(_message: Message) -> bytes:
-        open_at_retry.append(silent.open)
+        open_connections_at_retry.append(silent.open)
         return http_response(body=b"second")
 
     silent = FakeEndpoint(keep_silent)
-    script = RetryOnSecond(silent, attempt_timeout)
+    script = RetryOnSecondEndpoint(silent, attempt_timeout)
     async with gateway_with_client(
         silent, FakeEndpoint(respond), react=script.react, caps__second_copies="false"
     ) as gateway:
         response = await gateway.client.send_request()
         assert response.status == 200
         assert response.body == b"second"
-        assert open_at_retry == [0]
+        assert open_connections_at_retry == [0]
         assert gateway.policy.outcomes() == [outcome, Outcome.OK]
 
 
 @async_test
-async def test_hedged_request_is_not_sent_where_the_settings_forbid_it() -> None:
+async def test_hedged_request_is_not_sent_if_the_settings_forbid_hedging() -> None:
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             return [
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -16,22 +16,22 @@
 from tests.support.http_messages import read_message
 from tests.support.scripted_policy import do_nothing, forward_to_first
 
-SURPLUS_REQUEST_COUNT = 100  # requests that are sent at once
+PIPELINED_REQUEST_COUNT = 100  # far more than the limit
 
 
 def endpoint_with_largest_body() -> FakeEndpoint:
     return FakeEndpoint(respond_with(b"x" * MAX_BODY_BYTES))
 
 
-class UnreadConnection(NamedTuple):
-    """The gateway's side of a connection that is not read any more, and the requests that came on it."""
+class PausedConnection(NamedTuple):
+    """A client connection that the gateway has stopped reading, and the number of requests sent on it."""
 
     connection: ClientConnection
     request_count: int
 
 
-async def request_until_not_read(gateway: GatewayWithClient, endpoint: FakeEndpoint) -> UnreadConnection:
-    """Send requests without reading responses until the sockets' buffers are full of responses."""
+async def send_requests_until_paused(gateway: GatewayWithClient, endpoint: FakeEndpoint) -> PausedConnection:
+    """Send requests without reading responses, until the gateway stops reading from the client."""
     (connection,) = gateway.process.listener.connection_table.connections
     transport = connection.socket.transport
     assert transport is not None
@@ -46,30 +46,30 @@
             return len(endpoint.seen) > seen_before and not connection.pending_exchanges
 
         await until(was_served)
-    return UnreadConnection(connection, request_count)
+    return PausedConnection(connection, request_count)
 
 
 @async_test
-async def test_pipelined_requests_are_bounded() -> None:
+async def test_number_of_pipelined_requests_is_limited() -> None:
     async with gateway_with_client(endpoint_with_largest_body()) as gateway:
         reader = gateway.client.reader
         writer = gateway.client.writer
-        writer.write(b"".join(gateway.client.encode_request() for _ in range(SURPLUS_REQUEST_COUNT)))
+        writer.write(b"".join(gateway.client.encode_request() for _ in range(PIPELINED_REQUEST_COUNT)))
         responses = [await read_message(reader) for _ in range(MAX_PIPELINED_REQUESTS + 1)]
         assert [response.status for response in responses] == [200] * MAX_PIPELINED_REQUESTS + [503]
         assert "retry-after" in responses[-1].headers
-        assert await reader.read() == b""  # the remaining bytes are not read as requests
+        assert await reader.read() == b""  # the remaining requests are discarded
         assert len(gateway.policy.events_of_type(Request)) == MAX_PIPELINED_REQUESTS
 
 
 @async_test
-async def test_pipelined_requests_are_answered_in_their_order() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     requests: list[Request] = []
 
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             requests.append(event)
-            if len(requests) == 2:  # the second gets its response first
+            if len(requests) == 2:  # respond to the second one first
                 return [Reject(requests[1].request_id, 0.0), Fail(requests[0].request_id)]
         return []
 
@@ -83,29 +83,29 @@
 
 
 @async_test
-async def test_client_that_does_not_read_its_responses_is_not_read() -> None:
+async def test_requests_are_not_read_while_the_client_does_not_read_responses() -> None:
     endpoint = endpoint_with_largest_body()
     async with gateway_with_client(endpoint) as gateway:
-        _, request_count = await request_until_not_read(gateway, endpoint)
+        _, request_count = await send_requests_until_paused(gateway, endpoint)
         gateway.client.writer.write(gateway.client.encode_request())
-        for _ in range(request_count + 1):  # once it reads, all responses come
+        for _ in range(request_count + 1):  # the client receives all responses once it reads
             response = await read_message(gateway.client.reader)
             assert response.status == 200
             assert len(response.body) == MAX_BODY_BYTES
 
 
 @async_test
-async def test_client_that_never_reads_loses_its_connection() -> None:
+async def test_connection_of_a_client_that_never_reads_is_closed() -> None:
     endpoint = endpoint_with_largest_body()
     async with gateway_with_client(endpoint) as gateway:
-        connection, _ = await request_until_not_read(gateway, endpoint)
+        connection, _ = await send_requests_until_paused(gateway, endpoint)
         assert connection.queue is not None
         connection.queue.waiting_since[connection] -= IDLE_TIMEOUT_SECONDS
         await until(lambda: not gateway.process.listener.connection_table.connections)
 
 
 @async_test
-async def test_policy_is_told_of_a_disconnect_and_the_attempt_runs_on() -> None:
+async def test_disconnect_is_reported_and_the_attempt_continues() -> None:
     endpoint = FakeEndpoint(keep_silent)
     async with running_gateway(endpoint, react=forward_to_first) as (process, policy):
         async with HttpClient(process.listener) as client:
@@ -118,7 +118,7 @@
 
 
 @async_test
-async def test_surplus_clients_are_rejected() -> None:
+async def test_clients_beyond_the_connection_limit_are_rejected() -> None:
     async with running_gateway(UNREACHABLE, react=do_nothing) as (process, policy):
         process.listener.connection_table.max_connections = 2
         async with HttpClient(process.listener) as first, HttpClient(process.listener) as second:
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines and stalled endpoints: a response in time, and which attempts are replaced before it."""
+"""Deadlines and unresponsive endpoints: responses in time, and which attempts are retried before them."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
     from gateway.process import GatewayProcess
 
-NO_QUOTA_NO_HEDGING = {"tariffs__0__quota_rate": "0", "caps__second_copies": "false"}
+WITHOUT_QUOTA_AND_HEDGING = {"tariffs__0__quota_rate": "0", "caps__second_copies": "false"}
 USUAL_LATENCY_SECONDS = 0.1
 COSTLY_SECONDS = 5 * USUAL_LATENCY_SECONDS
 COSTLY_KEY = "costly"
 
 
 def set_usual_latency(process: GatewayProcess, class_index: int, seconds: float) -> None:
-    """Let the policy take a latency for the usual one."""
+    """Set the latency that the policy has observed for a request class."""
     limiter = process.driver.policy.concurrency_limiter
     limiter.class_latency[class_index].reset(seconds)
     limiter.latency.reset(seconds)
 
 
 @async_test
-async def test_request_is_answered_in_time_whatever_the_policy_does() -> None:
+async def test_request_is_answered_in_time_even_if_the_policy_does_not_respond() -> None:
     def react(event: Any) -> list[Action]:
         return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)] if isinstance(event, Request) else []
 
     async with gateway_with_client(FakeEndpoint(keep_silent), react=react) as gateway:
         started_at = time.monotonic()
         assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS, 300)).status == 504
-        assert time.monotonic() - started_at < 0.35  # its deadline, and the 50 ms allowed beyond
-        # The attempt was abandoned before the deadline, and nothing is left behind.
+        assert time.monotonic() - started_at < 0.35  # the deadline, plus 50 ms of tolerance
+        # The attempt was abandoned before the deadline, and no open request is left.
         assert gateway.policy.outcomes() == [Outcome.TIMEOUT]
         assert len(gateway.policy.events_of_type(ClientDisconnected)) == 1
         open_requests = gateway.process.driver.open_requests
@@ -51,10 +51,10 @@
 
 
 @async_test
-async def test_attempt_that_ran_into_the_deadline_is_not_retried() -> None:
-    """Retries in the last millisecond of a request would each cost a connection."""
+async def test_attempt_that_timed_out_at_the_deadline_is_not_retried() -> None:
+    """Each retry in the last millisecond before the deadline would waste a connection."""
     silent = FakeEndpoint(keep_silent)
-    async with running_gateway(silent, silent, react=None, **NO_QUOTA_NO_HEDGING) as (process, _):
+    async with running_gateway(silent, silent, react=None, **WITHOUT_QUOTA_AND_HEDGING) as (process, _):
 
         async def ask(customer: int) -> int:
             async with HttpClient(process.listener, customer) as client:
@@ -66,8 +66,8 @@
         assert len(silent.seen) == 8
 
 
-class CostlyWork:
-    """Connections of an endpoint at which the requests with one key take until they are released."""
+class CostlyRequestEndpoint:
+    """An endpoint that responds to requests with `COSTLY_KEY` only once the test sets `release`."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -84,27 +84,27 @@
 
 
 @async_test
-async def test_attempt_that_takes_five_times_the_usual_latency_is_not_replaced() -> None:
-    """Work that merely costs more would cost as much again if it were begun anew."""
-    work = CostlyWork()
-    changes = NO_QUOTA_NO_HEDGING | {"classes__1__dedup_scope": "all"}
+async def test_attempt_that_takes_five_times_the_usual_latency_is_not_retried() -> None:
+    """A retry of a request that is merely costly would double its cost."""
+    endpoint = CostlyRequestEndpoint()
+    changes = WITHOUT_QUOTA_AND_HEDGING | {"classes__1__dedup_scope": "all"}
     async with (
-        gateway_with_client(work.handle, work.handle, react=None, **changes) as gateway,
+        gateway_with_client(endpoint.handle, endpoint.handle, react=None, **changes) as gateway,
         HttpClient(gateway.process.listener) as other,
     ):
         response = asyncio.ensure_future(gateway.client.send_request(KEYED_CLASS, Idempotency_Key=COSTLY_KEY))
-        await until(lambda: work.seen)
+        await until(lambda: endpoint.seen)
         sent_at = time.monotonic()
         while time.monotonic() - sent_at < COSTLY_SECONDS:
             set_usual_latency(gateway.process, KEYED_CLASS, USUAL_LATENCY_SECONDS)
             assert (await other.send_request(KEYED_CLASS)).status == 200
-        work.release.set()
+        endpoint.release.set()
         assert (await response).status == 200
-        assert len(work.seen) == 1
+        assert len(endpoint.seen) == 1
 
 
 @async_test
-async def test_attempt_at_a_silent_endpoint_is_retried_once_its_connection_has_ended() -> None:
+async def test_attempt_at_a_silent_endpoint_is_retried_after_its_connection_is_closed() -> None:
     seen: list[FakeEndpoint] = []
 
     def respond_unless_first(index: int) -> Callable[[Message], bytes | None]:
@@ -115,7 +115,7 @@
         return respond
 
     endpoints = [FakeEndpoint(respond_unless_first(index)) for index in range(2)]
-    async with gateway_with_client(*endpoints, react=None, **NO_QUOTA_NO_HEDGING) as gateway:
+    async with gateway_with_client(*endpoints, react=None, **WITHOUT_QUOTA_AND_HEDGING) as gateway:
         set_usual_latency(gateway.process, 0, 0.02)
         response = await gateway.client.send_request()
         assert response.status == 200
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors of the program: limits hold while clients and services misbehave."""
+"""Limits on the program's file descriptors, while clients and services misbehave."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-MAX_SOCKETS = 160  # of the gateway: its own limit and the system's
-IDLE_CLIENT_COUNT = 600  # clients that connect at once and say nothing
-RECONNECT_SECONDS = 0.2  # from the close of an idle client to its next connection
-REQUEST_COUNT = 40  # while the idle clients are connected
+MAX_SOCKETS = 160  # the gateway's configured limit, and the limit of the system on its descriptors
+IDLE_CLIENT_COUNT = 600  # clients that connect at the same time and send nothing
+RECONNECT_SECONDS = 0.2  # delay before an idle client connects again
+REQUEST_COUNT = 40  # requests of other clients while the idle clients are connected
 REQUEST_INTERVAL_SECONDS = 0.1
-DRIP_SECONDS = 0.3  # between two chunks of an agent that never completes its list
-MAX_UPDATE_SECONDS = 6.0  # in which a gateway has to follow discovery
+CHUNK_INTERVAL_SECONDS = 0.3  # between two chunks of an agent that never completes its list
+MAX_UPDATE_SECONDS = 6.0  # time in which a gateway has to apply a new endpoint list
 MAX_CLIENT_ATTEMPTS = 5
 REQUEST = (
     b"GET /class-0?customer=%016x HTTP/1.1\r\nHost: x\r\nRequest-Class: class-0\r\n"
@@ -43,7 +43,7 @@
 
 
 class IdleClients:
-    """Clients that connect all at once, say nothing, and connect again when they are closed."""
+    """Clients that connect at the same time, send nothing, and reconnect when they are disconnected."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -67,8 +67,8 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-class FailingDiscoveryAgent(FakeDiscoveryAgent):
-    """An agent that says nothing, ever, on connections made while it is down."""
+class UnresponsiveDiscoveryAgent(FakeDiscoveryAgent):
+    """An agent that never responds on connections that are made while it is down."""
 
     is_down = False
     connections_while_down = 0
@@ -81,20 +81,22 @@
             await super().handle(reader, writer)
 
 
-class DrippingAgents:
+class EndlessListAgents:
     """Two agents that never complete their list, so that all watch connections to them stay open."""
 
     def __init__(self) -> None:
-        self.connection_counts = [0, 0]  # so far, by agent
-        self.handlers = [partial(self.drip, 0), partial(self.drip, 1)]
+        self.connection_counts = [0, 0]  # connections so far, by agent
+        self.handlers = [partial(self.send_endless_list, 0), partial(self.send_endless_list, 1)]
 
-    async def drip(self, agent: int, _reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def send_endless_list(
+        self, agent: int, _reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.connection_counts[agent] += 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
             writer.write(b"1\r\n \r\n")
             await writer.drain()
-            await asyncio.sleep(DRIP_SECONDS)
+            await asyncio.sleep(CHUNK_INTERVAL_SECONDS)
 
 
 class ClientResponse(NamedTuple):
@@ -102,8 +104,11 @@
     body: bytes
 
 
-async def ask(port: int, number: int) -> ClientResponse:
-    """The response for a customer's request, sent again where its connection is closed unread."""
+async def send_request(port: int, number: int) -> ClientResponse:
+    """Send a request and return its response; send it again if its connection is closed without one.
+
+    The number is the customer's id and the Request-Id.  The status is 0 if all attempts fail.
+    """
     for _ in range(MAX_CLIENT_ATTEMPTS):
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             reader, writer = await asyncio.open_connection(LOOPBACK, port)
@@ -116,25 +121,25 @@
     return ClientResponse(0, b"")
 
 
-async def ask_beside_idle_clients(program: RunningProgram, customers: Iterator[int]) -> int:
-    """Ask while idle clients connect; all is to be served.  Return the most descriptors that were open."""
-    most_descriptors = 0
+async def send_requests_beside_idle_clients(program: RunningProgram, customers: Iterator[int]) -> int:
+    """Send requests that all have to be served, and return the largest number of open descriptors."""
+    max_descriptors = 0
     for _ in range(REQUEST_COUNT):
-        assert await ask(program.port, next(customers)) == ClientResponse(200, b"1")
-        most_descriptors = max(most_descriptors, open_descriptors(program.process))
+        assert await send_request(program.port, next(customers)) == ClientResponse(200, b"1")
+        max_descriptors = max(max_descriptors, open_descriptors(program.process))
         await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
-    return most_descriptors
+    return max_descriptors
 
 
 async def wait_for_second_endpoint(program: RunningProgram, customers: Iterator[int]) -> None:
-    """Ask until the second endpoint serves, which has to be in time."""
+    """Send requests until the second endpoint serves one, which has to happen in time."""
     started_at = time.monotonic()
-    while (await ask(program.port, next(customers))).body != b"2":
+    while (await send_request(program.port, next(customers))).body != b"2":
         assert time.monotonic() - started_at < MAX_UPDATE_SECONDS
 
 
-async def end_and_read_log(program: RunningProgram) -> str:
-    """End the program at once and return what it has logged."""
+async def kill_and_read_log(program: RunningProgram) -> str:
+    """Kill the program and return its log."""
     program.process.kill()
     assert program.process.stderr is not None
     return (await program.process.stderr.read()).decode()
@@ -142,17 +147,17 @@
 
 @dataclass
 class Site:
-    """A program with limited descriptors, and its services; discovery lists the first of two endpoints."""
+    """A program with limited descriptors and its services; discovery lists the first of two endpoints."""
 
-    agent: FailingDiscoveryAgent
+    agent: UnresponsiveDiscoveryAgent
     counter: FakeCounter
     program: RunningProgram
     second_host: dict[str, Any]
 
 
 async def start_site(services: Services, config_path: Path) -> Site:
-    """Start the services and the program, which watches the endpoint list once this returns."""
-    agent = FailingDiscoveryAgent()
+    """Start the services and the program, and wait until it watches the endpoint list."""
+    agent = UnresponsiveDiscoveryAgent()
     counter = FakeCounter()
     endpoints = [FakeEndpoint(respond_with(b"1")), FakeEndpoint(respond_with(b"2"))]
     first, second = await services.start_endpoints(endpoints)
@@ -165,18 +170,18 @@
 
 
 @async_test
-async def test_idle_clients_leave_descriptors_to_the_others(config_path: Path) -> None:
-    """Idle clients may fill the descriptors while discovery is down.
+async def test_idle_clients_leave_descriptors_for_other_connections(config_path: Path) -> None:
+    """Idle clients may use up their share of the descriptors while discovery is down.
 
-    Watch connections, counter calls and attempts still get theirs, other clients are served, and the gateway
-    follows discovery in time once it is up.
+    Watch connections, counter calls and attempts still get descriptors, other clients are served, and the
+    gateway applies a new endpoint list in time once discovery is up.
     """
     async with Services() as services:
         site = await start_site(services, config_path)
         site.agent.is_down = True
         idle_clients = IdleClients(site.program.port)
-        customers = itertools.count()  # another one for each request, so that quotas do not matter
-        most_descriptors = await ask_beside_idle_clients(site.program, customers)
+        customers = itertools.count()  # a new customer for each request, so that no quota is exceeded
+        max_descriptors = await send_requests_beside_idle_clients(site.program, customers)
         assert idle_clients.closed_count
         assert site.agent.connections_while_down > 1
         assert site.counter.open == CONNECTION_COUNT
@@ -186,16 +191,16 @@
         site.agent.is_down = False
         await wait_for_second_endpoint(site.program, customers)
         await idle_clients.disconnect()
-        errors = await end_and_read_log(site.program)
-        assert "open files" not in errors, errors
-        assert most_descriptors < MAX_SOCKETS, errors
+        log = await kill_and_read_log(site.program)
+        assert "open files" not in log, log
+        assert max_descriptors < MAX_SOCKETS, log
 
 
 @async_test
 async def test_reserved_descriptors_suffice_while_discovery_and_counter_change_address(
     config_path: Path,
 ) -> None:
-    agents = DrippingAgents()
+    agents = EndlessListAgents()
     counters = [FakeCounter(), FakeCounter()]
     hosts = [unreachable_host()]
     async with Services() as services:
@@ -207,8 +212,8 @@
 
         write_config(config_path, hosts, counter_addresses[1], agent_addresses[1])
         program.process.send_signal(signal.SIGHUP)
-        most_descriptors = 0
+        max_descriptors = 0
         while agents.connection_counts[1] <= MAX_CONNECTIONS:
-            most_descriptors = max(most_descriptors, open_descriptors(program.process))
+            max_descriptors = max(max_descriptors, open_descriptors(program.process))
             await asyncio.sleep(0.002)
-        assert 2 * MAX_CONNECTIONS < most_descriptors <= RESERVED_SOCKETS
+        assert 2 * MAX_CONNECTIONS < max_descriptors <= RESERVED_SOCKETS
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: reuse, idle ones, restarts, the limit, load reports and probes."""
+"""Connections to endpoints: reuse, idle timeout, restarts, the limit, load reports and probes."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from tests.support.http_messages import http_response
 from tests.support.scripted_policy import FIRST_ENDPOINT, forward_to_first
 
-OVER_HALF_IDLE_TIMEOUT_SECONDS = 16.0  # the endpoints' idle time-out is 30 s
+OVER_HALF_IDLE_TIMEOUT_SECONDS = 16.0  # the endpoints' idle timeout is 30 s
 
 
 @async_test
-async def test_connections_are_reused_and_connection_close_is_honoured() -> None:
+async def test_connections_are_reused_unless_the_response_says_connection_close() -> None:
     responses = [http_response(), http_response(Connection="close"), http_response()]
     endpoint = FakeEndpoint(lambda _: responses[len(endpoint.seen) - 1])
     async with gateway_with_client(endpoint) as gateway:
@@ -69,7 +69,7 @@
 
 
 @async_test
-async def test_connections_are_bounded_and_idle_ones_are_closed_for_new_ones() -> None:
+async def test_connections_are_limited_and_idle_ones_make_room_for_new_ones() -> None:
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             return [StartAttempt(event.request_id, event.class_index + 1, 0.0)]
@@ -87,12 +87,13 @@
         gateway.client.writer.write(gateway.client.encode_request(1))
         await until(lambda: silent.seen)
         await until(lambda: responsive.open == 0)
-        assert (await other.send_request(2)).status == 502  # no connection may be opened: it never ran
+        # No further connection may be opened, so the attempt never ran.
+        assert (await other.send_request(2)).status == 502
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.OVERLOADED]
 
 
 @async_test
-async def test_load_report_has_the_columns_of_the_settings_in_their_order() -> None:
+async def test_load_report_has_the_columns_of_the_settings_in_order() -> None:
     headers = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
     endpoint = FakeEndpoint(lambda _: http_response(Server_Load=headers[len(endpoint.seen) - 1]))
     async with gateway_with_client(endpoint) as gateway:
@@ -103,7 +104,7 @@
 
 
 @async_test
-async def test_probe_brings_the_load_report() -> None:
+async def test_probe_returns_the_load_report() -> None:
     def react(event: Any) -> list[Action]:
         return [Probe(FIRST_ENDPOINT), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
 
@@ -111,8 +112,8 @@
     async with gateway_with_client(endpoint, react=react) as gateway:
         assert (await gateway.client.send_request()).status == 503
         await until(lambda: gateway.policy.events_of_type(ProbeFinished))
-        (probed,) = gateway.policy.events_of_type(ProbeFinished)
-        assert probed.endpoint_id == FIRST_ENDPOINT
-        assert probed.outcome == Outcome.OK
-        assert probed.load_report == (9.0, 0.5, 1.0)
+        (finished,) = gateway.policy.events_of_type(ProbeFinished)
+        assert finished.endpoint_id == FIRST_ENDPOINT
+        assert finished.outcome == Outcome.OK
+        assert finished.load_report == (9.0, 0.5, 1.0)
         assert endpoint.seen[0].start_line == "GET /-/load HTTP/1.1"
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through the gateway: what is forwarded, what the policy is told, what is rejected."""
+"""Requests through the gateway: forwarding, the event for the policy, and rejections."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
         assert forwarded.headers["request-id"] == "9b1f03aa5c7e2d41"
         assert forwarded.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
         assert forwarded.body == b"a recording"
-        # The time that the gateway will wait, which is less than the client will.
+        # The attempt's timeout, which is shorter than the client's.
         assert 3000 < int(forwarded.headers["request-timeout"].removesuffix("m")) < 4000
 
 
 @async_test
-async def test_policy_is_told_the_metadata_of_a_request() -> None:
+async def test_policy_receives_the_metadata_of_a_request() -> None:
     def react(event: Any) -> list[Action]:
         return [Reject(event.request_id, 0.25)] if isinstance(event, Request) else []
 
@@ -51,7 +51,7 @@
         response = await gateway.client.send_request(
             2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
         )
-        # A rejection is sent at once, with the time after which to retry.
+        # The rejection tells the client when to retry.
         assert response.status == 503
         assert response.headers["retry-after"] == "0.250"
         (event,) = gateway.policy.events_of_type(Request)
@@ -72,13 +72,13 @@
         pytest.param(0, "Request-Class", "class-1", 400, id="other class"),
         pytest.param(0, "X-Tier", "gold", 400, id="unknown plan"),
         pytest.param(0, "Request-Timeout", "4", 400, id="timeout without a unit"),
-        pytest.param(0, "X-Call-Terms", "units=none,spread=1,first=0", 400, id="units that are no number"),
-        pytest.param(0, "X-Call-Terms", "units=nan,spread=1,first=0", 400, id="units that are not a number"),
-        pytest.param(1, "Idempotency-Key", "", 400, id="key missing in a class that drops repeats by it"),
-        pytest.param(2, "Idempotency-Key", "5c0f", 400, id="key in a class without one"),
+        pytest.param(0, "X-Call-Terms", "units=none,spread=1,first=0", 400, id="text instead of units"),
+        pytest.param(0, "X-Call-Terms", "units=nan,spread=1,first=0", 400, id="NaN units"),
+        pytest.param(1, "Idempotency-Key", "", 400, id="missing key in a class with keys"),
+        pytest.param(2, "Idempotency-Key", "5c0f", 400, id="key in a class without keys"),
         pytest.param(0, "X-Pad", "x" * MAX_HEADER_BYTES, 400, id="large header"),
         pytest.param(2, "Content-Length", str(MAX_BODY_BYTES + 1), 413, id="large body"),
-        pytest.param(2, "Content-Length", "x", 400, id="length that is no number"),
+        pytest.param(2, "Content-Length", "x", 400, id="text instead of a length"),
     ],
 )
 @async_test
@@ -94,7 +94,7 @@
 
 
 @async_test
-async def test_bytes_that_are_no_request_are_rejected_and_end_the_connection() -> None:
+async def test_bytes_that_are_not_http_are_rejected_and_the_connection_is_closed() -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         assert (await gateway.client.send(b"\x00\x01 nonsense\r\n\r\n")).status == 400
         assert await gateway.client.reader.read() == b""
@@ -121,7 +121,7 @@
 
 
 @async_test
-async def test_trailer_does_not_stand_in_for_a_header() -> None:
+async def test_trailer_does_not_replace_a_missing_header() -> None:
     async with gateway_with_client(UNREACHABLE) as gateway:
         head = gateway.client.encode_request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
         response = await gateway.client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
@@ -138,19 +138,20 @@
 
 
 def reject_at_once(event: Any) -> list[Action]:
+    """Reject each request within the call that submits it."""
     return [Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
 
 
-# Guards against bodies that stay in memory until the garbage collector finds them, which may take long.
+# Guards against bodies that stay in memory until the garbage collector frees them, which may take long.
 @pytest.mark.usefixtures("no_garbage_collection")
 @pytest.mark.parametrize(
     "react",
     [pytest.param(forward_to_first, id="served"), pytest.param(reject_at_once, id="rejected at once")],
 )
 @async_test
-async def test_an_answered_request_is_freed_without_the_garbage_collector(react: Reaction) -> None:
+async def test_answered_request_is_freed_without_the_garbage_collector(react: Reaction) -> None:
     async with gateway_with_client(FakeEndpoint(), react=react) as gateway:
         await gateway.client.send_request()
         await gateway.client.send_request()
-        kept = [kept for kept in gc.get_objects() if isinstance(kept, Exchange | OpenRequest)]
-        assert kept == []
+        leaked = [found for found in gc.get_objects() if isinstance(found, Exchange | OpenRequest)]
+        assert leaked == []
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -1,4 +1,4 @@
-"""Connections that are to be closed while a request or a response on them is unfinished, on loopback."""
+"""Connections that are about to be closed with an unfinished request or response, on loopback."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 SECOND_REQUEST = raw_request(b"two")
 
 
-def close_idle_at_shutdown(listener: Listener, _idle: ClientConnection) -> None:
+def close_at_shutdown(listener: Listener, _idle: ClientConnection) -> None:
     listener.stop_listening()
 
 
@@ -48,21 +48,21 @@
     table.close_overdue_connections()
 
 
-def close_for_a_new_one(listener: Listener, idle: ClientConnection) -> None:
+def evict_for_a_new_connection(listener: Listener, idle: ClientConnection) -> None:
     assert listener.connection_table.choose_connection_to_evict(listener.create_connection()) is not idle
 
 
-# Guards against closing a connection as idle when a request has come that was not read yet.
+# Guards against closing a connection as idle although a request has arrived that is not read yet.
 @pytest.mark.parametrize(
     "close_idle",
     [
-        pytest.param(close_idle_at_shutdown, id="drain"),
+        pytest.param(close_at_shutdown, id="drain"),
         pytest.param(close_as_overdue, id="idle"),
-        pytest.param(close_for_a_new_one, id="evicted"),
+        pytest.param(evict_for_a_new_connection, id="evicted"),
     ],
 )
 @async_test
-async def test_a_connection_is_not_closed_on_a_request_that_is_not_read_yet(
+async def test_connection_with_an_unread_request_is_not_closed_as_idle(
     close_idle: Callable[[Listener, ClientConnection], None],
 ) -> None:
     async with running_gateway(FakeEndpoint(), react=forward_to_first) as (gateway, _):
@@ -72,18 +72,18 @@
             assert OK_STATUS in await read_some(client)
             await until(lambda: idle_connections)
             (idle,) = idle_connections
-            assert client.send(SECOND_REQUEST)  # no step of the loop lies between these
+            assert client.send(SECOND_REQUEST)  # the event loop gets no turn to read it
             close_idle(gateway.listener, idle)
             assert OK_STATUS in await read_until(client, b"done")
 
 
 def has_part_of_a_request(table: ConnectionTable) -> bool:
-    """Whether part of the first request on a connection was read."""
+    """Return whether part of the first request on a connection was read."""
     return any(connection.reader.is_receiving for connection in table.new_connections)
 
 
 class DrainingGateway(NamedTuple):
-    """A gateway whose shutdown has begun, and the client from which it has half a request."""
+    """A gateway whose shutdown has begun, and the client that has sent it part of a request."""
 
     drained: asyncio.Task[None]
     client: socket.socket
@@ -91,7 +91,7 @@
 
 @contextlib.asynccontextmanager
 async def draining_gateway(drain_seconds: float) -> AsyncIterator[DrainingGateway]:
-    """Begin the shutdown of a gateway that has read half a request."""
+    """Begin the shutdown of a gateway that has read part of a request."""
     async with running_gateway(FakeEndpoint(), react=forward_to_first) as (gateway, _):
         table = gateway.listener.connection_table
         with connected_socket(gateway) as client:
@@ -106,14 +106,14 @@
 
 @pytest.fixture
 def no_accept_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Accept no connections after the start of the shutdown."""
+    """Stop accepting connections immediately when the shutdown starts."""
     monkeypatch.setattr("gateway.shutdown.SHUTDOWN_ACCEPT_SECONDS", 0.0)
 
 
-# Guards against the end of the process on a request that its client completes in time.
+# Guards against a process that exits before a request that its client completes in time.
 @pytest.mark.usefixtures("no_accept_time")
 @async_test
-async def test_a_request_that_is_completed_during_the_shutdown_is_served() -> None:
+async def test_request_that_is_completed_during_the_shutdown_is_served() -> None:
     async with draining_gateway(AMPLE_DRAIN_SECONDS) as (drained, client):
         assert not drained.done()
         await send(client, b"\r\n\r\n")
@@ -124,10 +124,11 @@
         assert b"Connection: close" in response
 
 
-# Guards against the end of the process on an incomplete request: the client may have sent all of it by then.
+# Guards against a process that exits without a response to an incomplete request, whose client may have sent
+# the rest already.
 @pytest.mark.usefixtures("no_accept_time")
 @async_test
-async def test_an_incomplete_request_gets_a_response_before_the_process_ends() -> None:
+async def test_incomplete_request_gets_a_response_before_the_process_exits() -> None:
     async with draining_gateway(SHORT_DRAIN_SECONDS) as (drained, client):
         response = await read_all(client)
         client.close()
@@ -137,13 +138,13 @@
 
 
 async def wait_for_unsent_responses(gateway: GatewayProcess) -> None:
-    """Wait until all requests are answered, and the responses are not sent completely."""
+    """Wait until all requests have a response and some responses are not sent completely."""
     table = gateway.listener.connection_table
     open_requests = gateway.driver.open_requests
     await until(lambda: table.has_unsent_responses() and not open_requests.unanswered_count)
 
 
-# Guards against a shutdown that cuts off the last responses of clients that read slowly.
+# Guards against a shutdown that truncates the last responses to clients that read slowly.
 @pytest.mark.usefixtures("no_accept_time")
 @async_test
 async def test_shutdown_waits_for_unsent_responses(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -155,7 +156,7 @@
             await send_four_requests(gateway, client)
             await wait_for_unsent_responses(gateway)
             drained = asyncio.create_task(gateway.drain())
-            done, _ = await asyncio.wait([drained], timeout=0.3)  # it may not end: nothing is read
+            done, _ = await asyncio.wait([drained], timeout=0.3)  # must not end, as the client reads nothing
             assert not done
             assert (await read_all(client)).count(body) == 4
             client.close()
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that are not written yet when their endpoint, client or request goes away, on loopback."""
+"""Unwritten attempts whose endpoint leaves, whose client disconnects or whose request is answered."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class GatedGateway:
-    """A running gateway whose connections to endpoints open only once a test lets them."""
+    """A running gateway whose connections to endpoints open only once the test permits them."""
 
     process: GatewayProcess
     policy: ScriptedPolicy
@@ -62,24 +62,24 @@
         return self.process.driver
 
     def permit_connections_to(self, endpoint_id: int) -> None:
-        """Let the connections to one endpoint open."""
+        """Permit connections to one endpoint."""
         self.loop.permitted_port = self.driver.upstream.pools[endpoint_id].address.port
 
 
 @contextlib.asynccontextmanager
 async def gated_gateway(*endpoints: FakeServer | str, react: Reaction) -> AsyncIterator[GatedGateway]:
-    """Run a gateway whose connections to endpoints are held back."""
+    """Run a gateway whose connections to endpoints open only once the test permits them."""
     async with running_gateway(*endpoints, react=react, **LONG_CONNECT_TIMEOUT) as (process, policy):
         yield GatedGateway(process, policy, gate_connections(process))
 
 
 def request_ids(messages: list[Message]) -> list[str]:
-    """Return the ids of requests."""
+    """Return the Request-Id of each request."""
     return [message.headers["request-id"] for message in messages]
 
 
 def retry_on_second_endpoint(event: Any) -> list[Action]:
-    """Send each request to the first endpoint, then to the second if it never ran."""
+    """Send each request to the first endpoint, then to the second if the attempt never ran."""
     if isinstance(event, AttemptFinished) and event.outcome.never_ran:
         return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
     return forward_to_first(event)
@@ -105,23 +105,24 @@
     UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, EndpointState.DRAINING),)
 )
 GONE = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, EndpointState.GONE),))
-LEFT_OUT = EndpointUpdate(UpdateKind.SNAPSHOT, LIST_VERSION, (make_record(SECOND_ENDPOINT),))
-MOVED = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, started_at=9.0),))
+ABSENT = EndpointUpdate(UpdateKind.SNAPSHOT, LIST_VERSION, (make_record(SECOND_ENDPOINT),))
+RESTARTED = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, started_at=9.0),))
 
 
-# Guards against a request that is written to an endpoint which was reported as leaving while the connection
-# to it was opened: the attempt never ran, so that even a request that is not idempotent may go to another.
+# Guards against a request that is written to an endpoint although an update has reported the endpoint as
+# leaving or restarted while the connection was being opened.  The attempt never ran, so even a request that
+# is not idempotent may be sent to another endpoint.
 @pytest.mark.parametrize(
     "update",
     [
         pytest.param(DRAINING, id="draining"),
         pytest.param(GONE, id="gone"),
-        pytest.param(LEFT_OUT, id="left out"),
-        pytest.param(MOVED, id="moved"),
+        pytest.param(ABSENT, id="absent from the snapshot"),
+        pytest.param(RESTARTED, id="restarted"),
     ],
 )
 @async_test
-async def test_a_waiting_attempt_is_not_sent_to_an_endpoint_that_is_leaving(update: EndpointUpdate) -> None:
+async def test_waiting_attempt_is_not_sent_to_an_endpoint_that_is_leaving(update: EndpointUpdate) -> None:
     leaving = FakeEndpoint()
     other = FakeEndpoint(respond_with(b"other"))
     async with (
@@ -135,17 +136,17 @@
         gateway.driver.apply_endpoint_update(update, addresses)
         gateway.loop.all_permitted.set()
         assert (await waiting).body == b"other"
-        # The policy is told the reason first, or it could choose the same endpoint again.
-        kinds = [type(event) for event in gateway.policy.events]
-        assert kinds.index(AttemptFinished) > kinds.index(EndpointUpdate)
+        # The policy has to receive the update first, or it could choose the same endpoint again.
+        event_types = [type(event) for event in gateway.policy.events]
+        assert event_types.index(AttemptFinished) > event_types.index(EndpointUpdate)
         assert gateway.policy.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
         await until(lambda: leaving.opened == 1)
         assert not leaving.seen
 
 
-# Guards against a hedged request for a client that disconnected while it waited for a connection.
+# Guards against a hedged request whose client disconnected while the attempt waited for a connection.
 @async_test
-async def test_a_waiting_hedged_request_is_not_sent_once_its_client_has_disconnected() -> None:
+async def test_waiting_hedged_request_is_not_sent_after_its_client_disconnected() -> None:
     silent = FakeEndpoint(keep_silent)
     second = FakeEndpoint()
     async with gated_gateway(silent, second, react=hedge_on_second_endpoint) as gateway:
@@ -159,9 +160,9 @@
         assert not second.seen
 
 
-# Guards against an attempt for a client that disconnected while it waited for a connection.
+# Guards against a request whose client disconnected while the first attempt waited for a connection.
 @async_test
-async def test_a_waiting_attempt_is_not_sent_once_its_client_has_disconnected() -> None:
+async def test_waiting_attempt_is_not_sent_after_its_client_disconnected() -> None:
     endpoint = FakeEndpoint()
     async with gated_gateway(endpoint, react=forward_to_first) as gateway:
         listener = gateway.process.listener
@@ -172,7 +173,8 @@
         assert not gateway.driver.open_requests
         assert not listener.budget.open_request_ids
         gateway.loop.all_permitted.set()
-        await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle)  # opened anyway, it is pooled
+        # The new connection is pooled.
+        await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle)
         async with HttpClient(listener) as client:
             assert (await client.send_request(Request_Id="second")).status == 200
         assert request_ids(endpoint.seen) == ["second"]
@@ -195,8 +197,8 @@
     return []
 
 
-# Guards against a hedged request that is written once its connection is open, when the first attempt has
-# brought the response, or the policy has rejected the request.
+# Guards against a hedged request that is written as soon as its connection is open, although the first
+# attempt has already returned the response or the policy has rejected the request.
 @pytest.mark.parametrize(
     ("react", "status"),
     [
@@ -205,7 +207,7 @@
     ],
 )
 @async_test
-async def test_a_waiting_attempt_is_not_sent_after_the_final_response(react: Reaction, status: int) -> None:
+async def test_waiting_attempt_is_not_sent_after_the_final_response(react: Reaction, status: int) -> None:
     second = FakeEndpoint()
     async with (
         gated_gateway(FakeEndpoint(), second, react=react) as gateway,
@@ -220,10 +222,10 @@
         assert "once" not in request_ids(second.seen)
 
 
-# Guards against a hedged request that is written once its connection may be used again, when the first
-# attempt has brought the response.
+# Guards against a hedged request that is written as soon as a pooled connection may be reused, although the
+# first attempt has already returned the response.
 @async_test
-async def test_an_attempt_that_waits_for_reuse_is_not_sent_after_the_final_response(
+async def test_attempt_that_waits_for_reuse_is_not_sent_after_the_final_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def react(event: Any) -> list[Action]:
@@ -246,17 +248,17 @@
 
 @contextlib.contextmanager
 def slow_listener() -> Iterator[socket.socket]:
-    """A listening socket whose connections take few bytes and are not read."""
+    """Yield a listening socket with small receive buffers, whose connections are not read."""
     with socket.create_server((LOOPBACK, 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         listener.settimeout(0.0)
         yield listener
 
 
-# Guards against bytes that wait in this process and are written although the client has disconnected: an
-# attempt that is incomplete at its endpoint by then must not become complete later.
+# Guards against unsent bytes of an attempt that are written after its client has disconnected: an attempt
+# that is incomplete at its endpoint must not become complete later.
 @async_test
-async def test_an_attempt_with_unsent_bytes_ends_when_its_client_disconnects() -> None:
+async def test_attempt_with_unsent_bytes_ends_when_its_client_disconnects() -> None:
     with slow_listener() as slow:
         address = f"{LOOPBACK}:{slow.getsockname()[1]}"
         async with gated_gateway(address, react=forward_to_first) as gateway:
@@ -269,6 +271,6 @@
             await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
             assert not pool.connections
             assert not gateway.driver.open_requests
-            taken, _ = slow.accept()
-            with taken:
-                assert len(await read_all(taken)) < len(LARGE_BODY)
+            accepted, _ = slow.accept()
+            with accepted:
+                assert len(await read_all(accepted)) < len(LARGE_BODY)
