--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -41,10 +41,10 @@
         """Remove a connection that is lost."""
 
     def mark_write_blocked(self, client: ClientConnection) -> None:
-        """Mark a connection as paused because its client does not read its responses."""
+        """Record that reading from a connection is paused, as its client does not read its responses."""
 
     def unmark_write_blocked(self, client: ClientConnection) -> None:
-        """Mark a connection as no longer paused."""
+        """Record that reading from a connection is resumed."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -92,7 +92,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request."""
-        self.socket.attach(cast("asyncio.Transport", transport))  # uvloop's transports are not subclasses
+        # The cast is needed because uvloop's transports do not inherit from asyncio.Transport.
+        self.socket.attach(cast("asyncio.Transport", transport))
         self.move_to_queue(self._registry.new_connections)
         self._registry.add(self)
 
@@ -142,7 +143,7 @@
     # --- called by the reader ----------------------------------------------------------------------
 
     def request_started(self) -> None:
-        """Start the read timeout, which for the first request runs since the connection was made."""
+        """Start the read timeout; for the first request, it has run since the client connected."""
         if self.queue is self._registry.idle_connections:
             self.move_to_queue(self._registry.receiving)
 
--- a/gateway/frontend/connection_table.py
+++ b/gateway/frontend/connection_table.py
@@ -14,7 +14,7 @@
 
     from gateway.frontend.client_connection import ClientConnection
 
-READ_TIMEOUT_SECONDS = 2.3  # to receive a complete request; for the first one, counted from the connection
+READ_TIMEOUT_SECONDS = 2.3  # to receive a complete request; for the first one, since the client connected
 IDLE_TIMEOUT_SECONDS = 15.0  # between requests, unless the table is crowded
 CROWDED_IDLE_TIMEOUT_SECONDS = 2.0  # between requests, once the table is crowded or full
 EVICTION_GRACE_SECONDS = 0.1  # before a new or half-closed connection is evicted, unless there is no other
@@ -105,17 +105,17 @@
                 continue
             if not oldest.has_unread_bytes():
                 return oldest
-            oldest.move_to_queue(queue)  # its unread bytes are about to be read as a request
+            oldest.move_to_queue(queue)  # to the end, as its unread bytes are about to be read
         return None
 
     # --- clients that do not read their responses --------------------------------------------------
 
     def mark_write_blocked(self, client: ClientConnection) -> None:
-        """Mark a connection as paused because its client does not read its responses."""
+        """Record that reading from a connection is paused, as its client does not read its responses."""
         self.write_blocked.add(client)
 
     def unmark_write_blocked(self, client: ClientConnection) -> None:
-        """Mark a connection as no longer paused."""
+        """Record that reading from a connection is resumed."""
         self.write_blocked.discard(client)
 
     def _detect_disconnects(self) -> None:
@@ -206,7 +206,7 @@
 
 def _pop_overdue(queue: WaitQueue[ClientConnection], timeout: float) -> Iterator[ClientConnection]:
     """Remove and yield the connections that have been in a queue for longer than a timeout in seconds."""
-    latest = time.monotonic() - timeout
-    while (oldest := queue.oldest) is not None and queue.waiting_since[oldest] < latest:
+    cutoff = time.monotonic() - timeout
+    while (oldest := queue.oldest) is not None and queue.waiting_since[oldest] < cutoff:
         oldest.move_to_queue(None)
         yield oldest
--- a/tests/frontend/test_listener.py
+++ b/tests/frontend/test_listener.py
@@ -24,7 +24,7 @@
 SILENT_COUNT = 30  # connections that send nothing
 MAX_CONNECTIONS = 5
 MAX_BUFFERED_BYTES = 1500
-PART_OF_A_BODY = b"x" * 1000
+PARTIAL_BODY = b"x" * 1000
 
 
 @pytest.fixture
@@ -141,10 +141,10 @@
         budget.max_buffered_bytes = MAX_BUFFERED_BYTES
         async with HttpClient(gateway.listener) as first, HttpClient(gateway.listener) as second:
             incomplete_request = (
-                first.encode_request(NON_IDEMPOTENT_CLASS, Content_Length="2000") + PART_OF_A_BODY
+                first.encode_request(NON_IDEMPOTENT_CLASS, Content_Length="2000") + PARTIAL_BODY
             )
             first.writer.write(incomplete_request)
-            await until(lambda: budget.buffered_bytes == len(PART_OF_A_BODY))
+            await until(lambda: budget.buffered_bytes == len(PARTIAL_BODY))
             response = await second.send(incomplete_request)
             assert response.status == 503
             assert "retry-after" in response.headers
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -26,7 +26,7 @@
 COSTLY_KEY = "costly"
 
 
-def set_usual_latency(process: GatewayProcess, class_index: int, seconds: float) -> None:
+def set_observed_latency(process: GatewayProcess, class_index: int, seconds: float) -> None:
     """Set the latency that the policy has observed for a request class."""
     limiter = process.driver.policy.concurrency_limiter
     limiter.class_latency[class_index].reset(seconds)
@@ -56,11 +56,11 @@
     silent = FakeEndpoint(keep_silent)
     async with running_gateway(silent, silent, react=None, **WITHOUT_QUOTA_AND_HEDGING) as (process, _):
 
-        async def ask(customer: int) -> int:
+        async def send_as(customer: int) -> int:
             async with HttpClient(process.listener, customer) as client:
                 return (await client.send_request(timeout_ms=150 + customer)).status
 
-        statuses = await asyncio.gather(*(ask(customer) for customer in range(8)))
+        statuses = await asyncio.gather(*(send_as(customer) for customer in range(8)))
         assert all(status != 200 for status in statuses)
         assert silent.opened == 8
         assert len(silent.seen) == 8
@@ -96,7 +96,7 @@
         await until(lambda: endpoint.seen)
         sent_at = time.monotonic()
         while time.monotonic() - sent_at < COSTLY_SECONDS:
-            set_usual_latency(gateway.process, KEYED_CLASS, USUAL_LATENCY_SECONDS)
+            set_observed_latency(gateway.process, KEYED_CLASS, USUAL_LATENCY_SECONDS)
             assert (await other.send_request(KEYED_CLASS)).status == 200
         endpoint.release.set()
         assert (await response).status == 200
@@ -116,7 +116,7 @@
 
     endpoints = [FakeEndpoint(respond_unless_first(index)) for index in range(2)]
     async with gateway_with_client(*endpoints, react=None, **WITHOUT_QUOTA_AND_HEDGING) as gateway:
-        set_usual_latency(gateway.process, 0, 0.02)
+        set_observed_latency(gateway.process, 0, 0.02)
         response = await gateway.client.send_request()
         assert response.status == 200
         assert response.body == b"done"
