--- a/gateway/simulator/batch_decoder.py
+++ b/gateway/simulator/batch_decoder.py
@@ -46,7 +46,7 @@
 _COUNTER_REPLY = struct.Struct("<BQfd")
 _INSTANCE = struct.Struct("<I")
 
-_INSTANCE_CODE = EventCode.INSTANCE.value  # an int: every record is compared with it, and an enum is slower
+_INSTANCE_CODE = EventCode.INSTANCE.value  # an int, because the code of each record is compared with it
 _LOAD_REPORT_COLUMN_BYTES = 4
 _FLAG_IS_RETRY = 2
 _FLAG_IS_WRITE = 4
--- a/scaletest/__init__.py
+++ b/scaletest/__init__.py
@@ -1,1 +1,1 @@
-"""Scale experiments on fleets of hollow gateways: the real policy, with all around it emulated."""
+"""Scale experiments: measure the real policy with the endpoint lists and requests of a synthetic fleet."""
--- a/scaletest/slope.py
+++ b/scaletest/experiment.py
@@ -1,4 +1,4 @@
-"""Slopes: figures that are measured at each size of a scenario."""
+"""Experiments: figures that are measured at each size of a scenario."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from scaletest.result import Point, Result
+    from scaletest.result import Measurement, Result
     from scaletest.scenario import Scenario, Size
 
 
 @dataclass(frozen=True, slots=True)
-class Slope:
-    """What a slope measures.
+class Experiment:
+    """Defines the figures of an experiment and measures them.
 
     Attributes:
         units: The unit of each figure, by the figure's name.
@@ -24,17 +24,17 @@
     """
 
     units: Mapping[str, str]
-    measure: Callable[[Size, Scenario], Point]
+    measure: Callable[[Size, Scenario], Measurement]
 
     def run(self, scenario: Scenario) -> Result:
-        """Measure all sizes of a scenario, one after another."""
-        began_at = result.now()
+        """Measure the figures at all sizes of a scenario, one size after another."""
+        started_at = result.utc_now()
         machine = result.current_machine()
         commit = result.current_commit()
         points = tuple(self.measure(size, scenario) for size in scenario.sizes)
         return result.Result(
             scenario=scenario,
-            at=began_at,
+            at=started_at,
             commit=commit,
             machine=machine,
             units=dict(self.units),
--- a/scaletest/report.py
+++ b/scaletest/report.py
@@ -1,4 +1,4 @@
-"""Reports: a table and a plot of a result."""
+"""Reports: the table and the plot of a result."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
     from matplotlib.axes import Axes
 
-matplotlib.use("Agg")  # draws into files: no display is needed
+matplotlib.use("Agg")  # draws to files and needs no display
 PLOT_SIZE_INCHES = (12, 7)
 PLOT_DPI = 90
-PLOT_ROWS = 2
+PLOT_ROWS = 2  # rows of diagrams
 UNIT_FONT_SIZE = 7  # points
-FIT_COLUMNS = ("slope an endpoint", "residual", "exponent")
+FIT_COLUMNS = ("slope per endpoint", "residual", "exponent")
 
 
-def table(result: Result) -> str:
-    """Return a result as Markdown, with one row for each figure: its value at each size and its fit."""
+def format_table(result: Result) -> str:
+    """Return a result as a Markdown table: for each figure, its value at each size and its fit."""
     sizes = [f"{point.endpoints:,} / {point.gateways}" for point in result.points]
     columns = ["figure", *sizes, *FIT_COLUMNS]
     lines = [
@@ -38,29 +38,29 @@
 
 
 def _description(result: Result) -> str:
-    """Return the line above the table, which says what was run, when and where."""
+    """Return the line above the table, which describes the run and the machine."""
     return (
-        f"Slope `{result.scenario.name}`: commit {result.commit}, seed {result.scenario.seed}, "
+        f"Experiment `{result.scenario.name}`: commit {result.commit}, seed {result.scenario.seed}, "
         f"{result.scenario.repeats} repeats, {result.machine.cores} cores, load {result.machine.load:.1f}, "
         f"Python {result.machine.python}, {result.at:%Y-%m-%d %H:%M} UTC. Sizes are endpoints / gateways."
     )
 
 
 def _table_row(result: Result, figure: str) -> str:
-    line = fit(result.points, figure)
+    fitted = fit(result.points, figure)
     values = [f"{point.figures[figure]:.4g}" for point in result.points]
     cells = [
         f"{figure}: {result.units[figure]}",
         *values,
-        f"{line.slope:.3g}",
-        f"{line.residual:.0%}",
-        f"{line.exponent:.2f}",
+        f"{fitted.slope:.3g}",
+        f"{fitted.residual:.0%}",
+        f"{fitted.exponent:.2f}",
     ]
     return "| " + " | ".join(cells) + " |"
 
 
-def plot(result: Result, path: Path) -> None:
-    """Write a PNG file with one diagram for each figure: its values by endpoints, and the fitted line."""
+def write_plot(result: Result, path: Path) -> None:
+    """Write a PNG file that shows each figure by the number of endpoints, with its fitted line."""
     figures = list(result.units)
     columns = math.ceil(len(figures) / PLOT_ROWS)
     drawing, axes = pyplot.subplots(PLOT_ROWS, columns, figsize=PLOT_SIZE_INCHES, squeeze=False)
@@ -75,10 +75,10 @@
 
 
 def _plot_figure(axis: Axes, result: Result, figure: str) -> None:
-    line = fit(result.points, figure)
+    fitted = fit(result.points, figure)
     endpoints = [point.endpoints for point in result.points]
     axis.plot(endpoints, [point.figures[figure] for point in result.points], "o")
-    axis.plot(endpoints, [line.slope * count + line.intercept for count in endpoints], "--")
+    axis.plot(endpoints, [fitted.slope * count + fitted.intercept for count in endpoints], "--")
     axis.set_title(figure)
     axis.set_xlabel("endpoints")
     axis.set_ylabel(result.units[figure], fontsize=UNIT_FONT_SIZE)
--- a/scaletest/result.py
+++ b/scaletest/result.py
@@ -1,4 +1,4 @@
-"""Results: JSON files with the figures of a run and what they depend on, and fits through the figures."""
+"""Results of runs, which are saved as JSON files, and lines fitted to their figures."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 
 from scaletest.scenario import ScaletestError, Scenario, StrictModel
 
-MIN_FIGURE = 1e-12  # replaces a figure of 0, which has no logarithm and cannot be a divisor
+MIN_FIGURE = 1e-12  # replaces 0 in logarithms and as a divisor
 
 
 class ResultError(ScaletestError):
-    """Raised for a file that holds no result; the text names the file and what is wrong in it."""
+    """Raised for a file that is not a valid result; the message has the name of the file and the fault."""
 
 
-class Point(StrictModel):
-    """The figures measured at one size, by name.  Older files call the sizes `servers` and `doors`."""
+class Measurement(StrictModel):
+    """The figures that were measured at one size, by name.
+
+    Older files have the keys `servers` for endpoints and `doors` for gateways.
+    """
 
     endpoints: Annotated[int, Field(validation_alias=AliasChoices("endpoints", "servers"))]
     gateways: Annotated[int, Field(validation_alias=AliasChoices("gateways", "doors"))]
@@ -31,36 +34,36 @@
 
 
 class Machine(StrictModel):
-    """The machine that a run was made on."""
+    """The machine on which an experiment was run."""
 
     cores: int
     memory_mb: int
     python: str
-    load: float  # average of the last minute before the run; other work makes the measured times longer
+    load: float  # load average of the minute before the run; other load increases the measured times
 
 
 class Result(StrictModel):
-    """The result of one run of a slope."""
+    """The result of one run of an experiment."""
 
     scenario: Scenario
-    at: datetime  # time at which the run began
-    commit: str  # followed by "+" where tracked files had changed since
+    at: datetime  # start time of the run
+    commit: str  # followed by "+" if tracked files had uncommitted changes
     machine: Machine
     units: dict[str, str]  # by the name of the figure
-    points: tuple[Point, ...]
+    points: tuple[Measurement, ...]
 
 
 class Fit(BaseModel):
-    """A line fitted to a figure by endpoints, and the power of the endpoints with which it grows."""
+    """A line fitted to a figure as a function of the number of endpoints, and the exponent of its growth."""
 
-    slope: float  # figure's unit for each endpoint
+    slope: float  # in the unit of the figure per endpoint
     intercept: float
-    residual: float  # root mean square of the errors, as a fraction of the figure's mean
-    exponent: float
+    residual: float  # root mean square error of the line, as a fraction of the figure's mean
+    exponent: float  # slope of the line fitted to the logarithms: 1 is linear growth, 2 is quadratic
 
 
 def current_machine() -> Machine:
-    """Describe this machine and how busy it is."""
+    """Return the hardware, Python version and load average of this machine."""
     return Machine(
         cores=os.cpu_count() or 1,
         memory_mb=psutil.virtual_memory().total >> 20,
@@ -69,14 +72,14 @@
     )
 
 
-def current_commit(here: Path = Path(__file__).parent) -> str:
+def current_commit(folder: Path = Path(__file__).parent) -> str:
     """Return the commit of the running code, or "unknown" outside a repository.
 
-    Untracked files do not count as changes, because runs leave their results there.
+    Untracked files do not count as changes, because runs write their results to untracked files.
     """
 
-    def git(*words: str) -> str:
-        run = subprocess.run(["git", *words], cwd=here, capture_output=True, text=True, check=True)
+    def git(*arguments: str) -> str:
+        run = subprocess.run(["git", *arguments], cwd=folder, capture_output=True, text=True, check=True)
         return run.stdout.strip()
 
     try:
@@ -86,8 +89,8 @@
         return "unknown"
 
 
-def fit(points: tuple[Point, ...], figure: str) -> Fit:
-    """Fit a line to a figure over all sizes by least squares."""
+def fit(points: tuple[Measurement, ...], figure: str) -> Fit:
+    """Fit a line to a figure over all sizes by least squares, and its growth by a power of the size."""
     endpoints = np.array([point.endpoints for point in points], dtype=float)
     values = np.array([point.figures[figure] for point in points])
     slope, intercept = np.polyfit(endpoints, values, 1)
@@ -99,7 +102,7 @@
 
 
 def save(result: Result, folder: Path) -> Path:
-    """Write a result to a new file of a folder, which is created if needed, and return the file's path."""
+    """Write a result to a new file in a folder, which is created if it does not exist; return the path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{result.scenario.name}-{result.at:%Y%m%dT%H%M%S}.json"
     path.write_text(result.model_dump_json(indent=1) + "\n", encoding="utf-8")
@@ -107,10 +110,10 @@
 
 
 def read(path: Path) -> Result:
-    """Read a saved result, also one of an earlier version.
+    """Read a saved result, including results of earlier versions.
 
     Raises:
-        ResultError: The file cannot be read or holds no result.
+        ResultError: The file cannot be read or is not a valid result.
     """
     try:
         return Result.model_validate_json(path.read_text(encoding="utf-8"))
@@ -118,6 +121,6 @@
         raise ResultError(f"{path}: {str(error).splitlines()[0]}") from None
 
 
-def now() -> datetime:
+def utc_now() -> datetime:
     """Return the current time in UTC."""
     return datetime.now(UTC)
--- a/scaletest/scenario.py
+++ b/scaletest/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: TOML files that say what an experiment measures, checked before anything runs."""
+"""Scenarios: TOML files that configure an experiment and are validated before it runs."""
 
 from __future__ import annotations
 
@@ -8,28 +8,31 @@
 
 from pydantic import AliasChoices, BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-SCENARIOS = Path(__file__).parent / "scenarios"  # those that come with the tool, by name
-MIN_SIZES = 4  # a slope of fewer sizes does not distinguish a line from a curve
-MAX_ENDPOINTS = 50_000  # above the planned size, and within the memory of one machine
-MAX_GATEWAYS = 5_000  # above the planned size
+SCENARIOS_FOLDER = Path(__file__).parent / "scenarios"  # the scenarios that come with the tool
+MIN_SIZES = 4  # fewer sizes do not show whether growth is linear
+MAX_ENDPOINTS = 50_000  # exceeds the planned size and fits into the memory of one machine
+MAX_GATEWAYS = 5_000  # exceeds the planned size
 
 
 class ScaletestError(ValueError):
-    """Base of the errors that this package raises; the text is one plain line."""
+    """Base class of the exceptions of this package; the message is a single line."""
 
 
 class ScenarioError(ScaletestError):
-    """Raised for a scenario that cannot be run; the text names its file and what is wrong in it."""
+    """Raised for an invalid or missing scenario; the message has the name of the file and the fault."""
 
 
 class StrictModel(BaseModel):
-    """A frozen record that rejects unknown keys in its file."""
+    """Base class of immutable models that reject unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Size(StrictModel):
-    """The size of a fleet in endpoints and gateways.  Older files call them `servers` and `doors`."""
+    """The number of endpoints and gateways of a fleet.
+
+    Older files have the keys `servers` for endpoints and `doors` for gateways.
+    """
 
     endpoints: Annotated[
         int, Field(ge=1, le=MAX_ENDPOINTS, validation_alias=AliasChoices("endpoints", "servers"))
@@ -38,31 +41,31 @@
 
 
 class Scenario(StrictModel):
-    """The sizes at which the figures of a slope are measured, and how."""
+    """The configuration of an experiment: the sizes at which it measures its figures, and how."""
 
     name: str
     seed: Annotated[int, Field(ge=0)]
-    repeats: Annotated[int, Field(ge=1, le=10_000)]  # of a measurement, whose median is the figure
-    services: Annotated[int, Field(ge=1)]  # cells of the endpoint list that the endpoints are spread over
+    repeats: Annotated[int, Field(ge=1, le=10_000)]  # repeats of each measurement; the figure is their median
+    services: Annotated[int, Field(ge=1)]  # number of cells over which the endpoints are distributed
     zones: Annotated[int, Field(ge=1, le=100)]
     sizes: Annotated[tuple[Size, ...], Field(min_length=MIN_SIZES)]
 
     @model_validator(mode="after")
-    def check_that_sizes_grow(self) -> Scenario:
-        """Reject sizes that do not grow in endpoints from each size to the next."""
+    def check_sizes_increase(self) -> Scenario:
+        """Reject sizes whose numbers of endpoints do not increase from each size to the next."""
         endpoints = [size.endpoints for size in self.sizes]
         if endpoints != sorted(set(endpoints)):
-            raise ValueError("sizes have to grow in endpoints")
+            raise ValueError("the endpoints of the sizes must increase")
         return self
 
 
-def load(name: str) -> Scenario:
-    """Return the scenario that comes with the tool under a name, or the one in a `.toml` file.
+def load_scenario(name: str) -> Scenario:
+    """Return the scenario with a name that comes with the tool, or the scenario in a `.toml` file.
 
     Raises:
-        ScenarioError: The scenario does not exist or cannot be run.
+        ScenarioError: The scenario does not exist or is invalid.
     """
-    path = Path(name) if name.endswith(".toml") else SCENARIOS / f"{name}.toml"
+    path = Path(name) if name.endswith(".toml") else SCENARIOS_FOLDER / f"{name}.toml"
     try:
         return Scenario.model_validate(tomllib.loads(path.read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/scaletest/hollow_gateway.py
+++ b/scaletest/synthetic_fleet.py
@@ -1,4 +1,4 @@
-"""Hollow gateways: the real policy with made-up settings and endpoint lists, many of them in one process."""
+"""Synthetic fleets: policies with generated settings, and generated endpoint lists, in one process."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
     from scaletest.scenario import Scenario, Size
 
-CLOCK_START = 1_000_000.0  # first time on the emulated clock, in seconds
-RESPONSE_SECONDS = 0.05  # time in which an emulated endpoint answers
-ENDPOINT_ID_LIMIT = 1 << 32  # endpoint ids of the discovery protocol are below this
+CLOCK_START = 1_000_000.0  # start time of the simulated clock, in seconds
+RESPONSE_SECONDS = 0.05  # response time of a simulated endpoint
+ENDPOINT_ID_LIMIT = 1 << 32  # the discovery protocol uses 32-bit endpoint ids
 
 REQUEST_CLASS = RequestClass(
     name="read",
@@ -63,9 +63,9 @@
 
 
 def make_settings(size: Size, zones: int, gateway_index: int) -> Settings:
-    """Return the settings of one gateway of a fleet of that size.
+    """Return the settings of one gateway of a fleet.
 
-    They have no quotas, because admission is not part of the slope of the endpoint list.
+    They have no quotas, because the experiment on the endpoint list does not measure admission.
     """
     return Settings(
         gateway_index=gateway_index,
@@ -89,9 +89,9 @@
     )
 
 
-def make_endpoints(size: Size, scenario: Scenario, random: np.random.Generator) -> tuple[EndpointRecord, ...]:
-    """Return as many endpoints as the size has, all of them warm, with distinct ids in random order."""
-    endpoint_ids = random.choice(ENDPOINT_ID_LIMIT, size=size.endpoints, replace=False)
+def make_endpoints(size: Size, scenario: Scenario, rng: np.random.Generator) -> tuple[EndpointRecord, ...]:
+    """Return the endpoints of a fleet, all of them warm, with distinct random ids."""
+    endpoint_ids = rng.choice(ENDPOINT_ID_LIMIT, size=size.endpoints, replace=False)
     return tuple(
         EndpointRecord(
             endpoint_id=int(endpoint_id),
@@ -106,26 +106,26 @@
     )
 
 
-def make_draining(endpoints: tuple[EndpointRecord, ...], random: np.random.Generator) -> EndpointRecord:
-    """Return the record of a randomly chosen endpoint once it is draining."""
-    chosen = endpoints[int(random.integers(len(endpoints)))]
+def make_draining(endpoints: tuple[EndpointRecord, ...], rng: np.random.Generator) -> EndpointRecord:
+    """Return the record of a random endpoint with its state changed to draining."""
+    chosen = endpoints[int(rng.integers(len(endpoints)))]
     return replace(chosen, state=EndpointState.DRAINING)
 
 
 def make_policy(size: Size, scenario: Scenario, gateway_index: int = 0) -> Policy:
-    """Return a new policy for one gateway of the fleet."""
+    """Return a new policy for one gateway of a fleet."""
     settings = make_settings(size, scenario.zones, gateway_index)
     return Policy(settings, scenario.seed + gateway_index)
 
 
 def snapshot_bytes(endpoints: tuple[EndpointRecord, ...]) -> int:
-    """Return the length in bytes of a snapshot of the endpoints as discovery sends it."""
+    """Return the size in bytes of the snapshot with these endpoints that discovery would send."""
     hosts = [_wire_record(index, endpoint) for index, endpoint in enumerate(endpoints)]
     return len(json.dumps({"seq": 1, "whole": True, "hosts": hosts}, separators=(",", ":")))
 
 
 def _wire_record(index: int, endpoint: EndpointRecord) -> dict[str, object]:
-    """Return an endpoint's record with the keys that the discovery protocol gives its fields."""
+    """Return an endpoint's record in the form of the discovery protocol."""
     address = f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}"
     return {
         "host": f"s-{endpoint.endpoint_id:08x}",
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,4 +1,4 @@
-"""A small scenario of the scale experiments, which tests vary."""
+"""A small scenario for tests of the scale experiments."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def write_scenario(path: Path, old: str = "", new: str = "") -> str:
-    """Write the small scenario to a file, with one text replaced by another, and return the file's path."""
+    """Write the small scenario to a file, with `old` replaced by `new`, and return the path of the file."""
     assert old in SMALL_SCENARIO
     path.write_text(SMALL_SCENARIO.replace(old, new))
     return str(path)
