--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -17,12 +17,10 @@
 
     from gateway.address import Address
 
-MAX_ENDPOINT_FRACTION = 0.5  # maximum fraction of all connections that one endpoint may use
-IDLE_TIMEOUT_FRACTION = (
-    0.5  # fraction of the endpoints' idle timeout after which the gateway closes a connection
-)
+MAX_POOL_FRACTION = 0.5  # maximum fraction of `max_connections` that the pool of one endpoint may use
+IDLE_TIMEOUT_FRACTION = 0.5  # the gateway's idle timeout as a fraction of that of the endpoints
 IDLE_CHECK_SECONDS = 1.0  # interval between checks for connections that have been idle too long
-PROBE_REQUEST = b"GET %s HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
+PROBE_REQUEST_FORMAT = b"GET %s HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
 LOAD_REPORT_TARGET = b"/-/load"  # request target of probes if the settings have load report columns
 HEALTH_TARGET = b"/-/healthy"  # request target of probes otherwise
 
@@ -52,7 +50,7 @@
         self.max_connections = max_connections
         self.idle_timeout = IDLE_TIMEOUT_FRACTION * endpoint_idle_timeout
         self.load_report_parser = LoadReportParser(report_columns)
-        self.probe_request = PROBE_REQUEST % (LOAD_REPORT_TARGET if report_columns else HEALTH_TARGET)
+        self.probe_request = PROBE_REQUEST_FORMAT % (LOAD_REPORT_TARGET if report_columns else HEALTH_TARGET)
         self.loop = asyncio.get_running_loop()
         self.pools: dict[int, EndpointPool] = {}
         self.endpoint_id_by_address: dict[Address, int] = {}
@@ -133,7 +131,7 @@
         At the limit for all pools, the connection that has been idle longest in any pool is closed first.
         Return whether the new connection may be opened.
         """
-        if connections_in_pool >= self.max_connections * MAX_ENDPOINT_FRACTION:
+        if connections_in_pool >= self.max_connections * MAX_POOL_FRACTION:
             return False
         if not self.ensure_capacity():
             return False
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -64,9 +64,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Enable notifications of unsent bytes and register the socket with the poller."""
-        transport = cast(
-            "asyncio.Transport", transport
-        )  # not `isinstance`: uvloop's transports are no subclasses
+        # A cast, not an `isinstance` check, because uvloop's transports do not inherit from this class.
+        transport = cast("asyncio.Transport", transport)
         transport.set_write_buffer_limits(high=0)  # call `pause_writing` as soon as a byte is buffered
         self.transport = transport
         self.poller.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -117,8 +116,8 @@
             self.abort()  # the attempt finishes in `connection_lost`
             return
         if self.parser.is_complete and self.is_open:
-            # Not called by the parser but after all received bytes are parsed: it may start the next attempt
-            # on this connection, and bytes after this response must not be parsed as the next one.
+            # Called only when all received bytes are parsed, because it may start the next attempt on this
+            # connection, and bytes after this response must not be parsed as the response to that attempt.
             self.finish_attempt()
 
     def eof_received(self) -> None:
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -104,7 +104,8 @@
     def pop_idle_connection(self) -> UpstreamConnection:
         """Remove and return an idle connection.
 
-        It is the most recently used one whose reuse delay has passed; if none has, the longest idle one.
+        This is the most recently used connection whose reuse delay has passed, or the longest idle connection
+        if no reuse delay has passed.
         """
         cutoff = time.monotonic() - REUSE_DELAY_SECONDS
         newest_first = reversed(range(len(self.idle_connections)))
@@ -153,7 +154,7 @@
             self.return_connection(connection)
 
     def remove_waiting_attempt(self, attempt: Attempt) -> bool:
-        """Remove an attempt from the waiting ones; return whether it was among them and has not finished."""
+        """Remove an attempt from the waiting attempts; return whether it was waiting and has not finished."""
         was_waiting = attempt in self.waiting_attempts and not attempt.is_finished
         self.waiting_attempts.discard(attempt)
         return was_waiting
@@ -161,8 +162,8 @@
     def cancel_waiting_attempts(self) -> None:
         """Fail the attempts that wait for a connection, because the endpoint must get no new requests.
 
-        They fail with NOT_STARTED after this method returns, when the policy has handled the update of the
-        endpoint that is the reason.
+        They fail with NOT_STARTED after this method returns, so that the policy handles the endpoint update
+        that caused the cancellation first.
         """
         waiting_attempts = self.waiting_attempts
         self.waiting_attempts = set()
--- a/scaletest/membership.py
+++ b/scaletest/membership.py
@@ -149,12 +149,12 @@
 def _alternating_deltas(
     policy: Policy, endpoints: tuple[EndpointRecord, ...], rng: np.random.Generator
 ) -> Callable[[int], Callable[[], object]]:
-    """Return a function that makes deltas, which in turn drain a random endpoint and make it ready again."""
+    """Return a function that makes deltas, which alternately drain a random endpoint and make it ready."""
     draining: list[EndpointRecord] = []
 
     def make_delta(index: int) -> Callable[[], object]:
         if index % 2 == 0:
-            draining.append(synthetic_fleet.make_draining(endpoints, rng))
+            draining.append(synthetic_fleet.make_draining_record(endpoints, rng))
         record = draining[-1]
         if index % 2 == 1:
             record = replace(record, state=EndpointState.READY)
--- a/scaletest/report.py
+++ b/scaletest/report.py
@@ -25,7 +25,7 @@
 
 def format_table(result: Result) -> str:
     """Return a result as a Markdown table: for each figure, its value at each size and its fit."""
-    sizes = [f"{point.endpoints:,} / {point.gateways}" for point in result.points]
+    sizes = [f"{measurement.endpoints:,} / {measurement.gateways}" for measurement in result.points]
     columns = ["figure", *sizes, *FIT_COLUMNS]
     lines = [
         _description(result),
@@ -48,7 +48,7 @@
 
 def _table_row(result: Result, figure: str) -> str:
     fitted = fit(result.points, figure)
-    values = [f"{point.figures[figure]:.4g}" for point in result.points]
+    values = [f"{measurement.figures[figure]:.4g}" for measurement in result.points]
     cells = [
         f"{figure}: {result.units[figure]}",
         *values,
@@ -76,8 +76,8 @@
 
 def _plot_figure(axis: Axes, result: Result, figure: str) -> None:
     fitted = fit(result.points, figure)
-    endpoints = [point.endpoints for point in result.points]
-    axis.plot(endpoints, [point.figures[figure] for point in result.points], "o")
+    endpoints = [measurement.endpoints for measurement in result.points]
+    axis.plot(endpoints, [measurement.figures[figure] for measurement in result.points], "o")
     axis.plot(endpoints, [fitted.slope * count + fitted.intercept for count in endpoints], "--")
     axis.set_title(figure)
     axis.set_xlabel("endpoints")
--- a/scaletest/result.py
+++ b/scaletest/result.py
@@ -89,10 +89,10 @@
         return "unknown"
 
 
-def fit(points: tuple[Measurement, ...], figure: str) -> Fit:
-    """Fit a line to a figure over all sizes by least squares, and its growth by a power of the size."""
-    endpoints = np.array([point.endpoints for point in points], dtype=float)
-    values = np.array([point.figures[figure] for point in points])
+def fit(measurements: tuple[Measurement, ...], figure: str) -> Fit:
+    """Fit a line to a figure over all sizes by least squares, and determine the exponent of its growth."""
+    endpoints = np.array([measurement.endpoints for measurement in measurements], dtype=float)
+    values = np.array([measurement.figures[figure] for measurement in measurements])
     slope, intercept = np.polyfit(endpoints, values, 1)
     errors = values - (slope * endpoints + intercept)
     exponent, _ = np.polyfit(np.log(endpoints), np.log(np.maximum(values, MIN_FIGURE)), 1)
--- a/scaletest/scenario.py
+++ b/scaletest/scenario.py
@@ -60,7 +60,7 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """Return the scenario with a name that comes with the tool, or the scenario in a `.toml` file.
+    """Load a scenario that comes with the tool by its name, or any scenario by the path of its `.toml` file.
 
     Raises:
         ScenarioError: The scenario does not exist or is invalid.
--- a/scaletest/synthetic_fleet.py
+++ b/scaletest/synthetic_fleet.py
@@ -1,4 +1,4 @@
-"""Synthetic fleets: policies with generated settings, and generated endpoint lists, in one process."""
+"""Synthetic fleets: the real policy with generated settings and endpoint lists, without any network I/O."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
     )
 
 
-def make_draining(endpoints: tuple[EndpointRecord, ...], rng: np.random.Generator) -> EndpointRecord:
+def make_draining_record(endpoints: tuple[EndpointRecord, ...], rng: np.random.Generator) -> EndpointRecord:
     """Return the record of a random endpoint with its state changed to draining."""
     chosen = endpoints[int(rng.integers(len(endpoints)))]
     return replace(chosen, state=EndpointState.DRAINING)
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -18,7 +18,7 @@
 
 FILE_NAME = "KNOWN-RED.txt"
 FIELD_SEPARATOR = "|"
-MAX_ENTRIES = 3  # a requirement of the users: with a longer list, failing tests would become normal
+MAX_ENTRIES = 3  # a longer list would make failing tests a habit
 
 
 class KnownRedError(ValueError):
