--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -16,7 +16,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
 from tests.support.http_messages import http_response, read_message
-from tests.support.scripted_policy import FIRST
+from tests.support.scripted_policy import FIRST_ENDPOINT
 from tests.support.upstream import echo_request_id, two_clients
 
 if TYPE_CHECKING:
@@ -56,16 +56,16 @@
             writer.write(echo_request_id(await read_message(reader)))
 
     async with gateway_with_client(handle) as gateway:
-        assert (await gateway.client.ask(Request_Id="one")).body == b"one"
+        assert (await gateway.client.send_request(Request_Id="one")).body == b"one"
         upstream = gateway.process.driver.upstream
-        (connection,) = upstream.pools[FIRST].idle_connections
+        (connection,) = upstream.pools[FIRST_ENDPOINT].idle_connections
         assert connection.is_usable()
         # The event loop does not run between these lines, so the bytes stay unread in the socket.
         writers[0].write(http_response(body=b"a late second copy"))
         assert not connection.is_usable()
         results: list[Any] = []
         request = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-        upstream.start_attempt(FIRST, request, 1.0, results.append)
+        upstream.start_attempt(FIRST_ENDPOINT, request, 1.0, results.append)
         await until(lambda: results)
         assert results[0].body == b"two"
 
@@ -101,11 +101,11 @@
 async def test_a_malformed_response_fails_its_attempt_at_once_with_error(malformed: bytes) -> None:
     endpoint = FakeEndpoint(lambda _message: malformed)
     async with gateway_with_client(endpoint) as gateway:
-        assert (await gateway.client.ask()).status == 502
+        assert (await gateway.client.send_request()).status == 502
         # Not RESET, which makes the policy avoid the endpoint: one that sends malformed responses is up.
         assert gateway.policy.outcomes() == [Outcome.ERROR]
         assert not Outcome.ERROR.never_ran  # the endpoint may have executed the request
-        (finished,) = gateway.policy.of(AttemptFinished)
+        (finished,) = gateway.policy.events_of_type(AttemptFinished)
         assert finished.elapsed < 2  # does not wait for the timeout
         await until(lambda: not endpoint.open_connections)
 
@@ -152,11 +152,11 @@
 @async_test
 async def test_a_close_delimited_response_is_complete_when_the_connection_closes() -> None:
     async with gateway_with_client(endpoint_with_response_end(ResponseEnd.CLOSE)) as gateway:
-        response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
+        response = await gateway.client.send_request(NON_IDEMPOTENT_CLASS)
         assert response.status == 200
         assert response.body == b"something"
         assert gateway.policy.outcomes() == [Outcome.OK]
-        assert not gateway.process.driver.upstream.pools[FIRST].idle_connections
+        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT].idle_connections
 
 
 # Guards against forwarding an incomplete response: a reset does not complete a close-delimited response.
@@ -171,8 +171,8 @@
 @async_test
 async def test_a_reset_or_an_early_close_does_not_complete_a_response(end: ResponseEnd) -> None:
     async with gateway_with_client(endpoint_with_response_end(end)) as gateway:
-        response = await gateway.client.ask(NON_IDEMPOTENT_CLASS)
+        response = await gateway.client.send_request(NON_IDEMPOTENT_CLASS)
         assert response.status == 502
         assert response.body == b""
         assert gateway.policy.outcomes() == [Outcome.RESET]
-        assert not gateway.process.driver.upstream.pools[FIRST].idle_connections
+        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT].idle_connections
