--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -49,7 +49,7 @@
     first: HttpClient
     second: HttpClient
 
-    async def ask_both(self) -> list[Message]:
+    async def send_both_requests(self) -> list[Message]:
         """Send a request from each client, with the ids `one` and `two`, and return the responses."""
         self.first.writer.write(self.first.encode_request(Request_Id="one"))
         self.second.writer.write(self.second.encode_request(Request_Id="two"))
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -37,7 +37,7 @@
 async def test_bytes_after_a_response_are_not_used_as_the_next_response(extra_bytes: bytes) -> None:
     endpoint = FakeEndpoint(lambda message: echo_request_id(message) + extra_bytes)
     async with two_clients(endpoint) as clients:
-        responses = await clients.ask_both()
+        responses = await clients.send_both_requests()
         assert [response.status for response in responses] == [200, 200]
         assert [response.body for response in responses] == [b"one", b"two"]
         assert clients.policy.outcomes() == [Outcome.OK, Outcome.OK]
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -46,7 +46,7 @@
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1.0)
     endpoint = DuplicatingEndpoint()
     async with two_clients(endpoint.handle) as clients, asyncio.TaskGroup() as group:
-        responses_of_both = group.create_task(clients.ask_both())
+        responses_of_both = group.create_task(clients.send_both_requests())
         await until(
             clients.policy.outcomes
         )  # the policy starts the second attempt when the first has finished
