--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -174,9 +174,7 @@
         assert not listener.budget.open_request_ids
         gateway.loop.all_permitted.set()
         # The new connection is pooled.
-        await until(
-            lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle_connections
-        )
+        await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle_connections)
         async with HttpClient(listener) as client:
             assert (await client.send_request(Request_Id="second")).status == 200
         assert request_ids(endpoint.requests) == ["second"]
