--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -16,10 +16,10 @@
 
 INITIAL_LIMIT = 12.0  # attempts in flight from all gateways at an average endpoint
 MIN_LIMIT = 4.0  # attempts, as above; a lower limit would leave cores of the endpoints idle
-HEADROOM_DEVIATIONS = 0.7  # standard deviations above the mean limit, as a gateway's load varies
+HEADROOM_DEVIATIONS = 0.7  # standard deviations above the total limit, as a gateway's load varies
 BACKOFF_FACTOR = 0.85  # multiplies the limit when too many responses are late
 BINDING_MARGIN_ATTEMPTS = 2  # the limit counts as binding, and may rise, this many attempts below it
-MAX_LATE_RATIO = 0.3  # higher than the late ratio that one slow endpoint or one costly request causes
+MAX_LATE_RATIO = 0.3  # the limit is lowered from here; one slow endpoint or costly request stays below
 MEAN_LATENCY_WEIGHT = LATENCY_WEIGHT / 4  # of the newest response in an average over all endpoints
 LATE_WEIGHT = LATENCY_WEIGHT / 2  # of the newest outcome in the late ratio
 INITIAL_LOAD = 1.0  # assumed for an endpoint that has responded, until load reports arrive
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -40,7 +40,7 @@
 class UpdateKind(IntEnum):
     """What an update of the endpoint list contains; the values are those of the simulator's protocol."""
 
-    CACHED = 1  # all endpoints from the gateway's cache, which may be out of date
+    CACHED = 1  # all endpoints as last known, which may be out of date
     DELTA = 2  # only the endpoints that have changed
     SNAPSHOT = 3  # all endpoints; an endpoint that is missing is gone
     FAILED = 4  # no endpoints, because a poll of the endpoint list has failed
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -79,7 +79,7 @@
     def best_of(self, pending: PendingRequest, candidates: list[Endpoint]) -> Endpoint | None:
         """Return the candidate with the lowest score, from a random sample if there are many.
 
-        Returns None if no candidate has capacity.
+        Returns None if no candidate is eligible.
         """
         if len(candidates) > MAX_CANDIDATES:
             candidates = self.context.random.sample(candidates, MAX_CANDIDATES)
--- a/gateway/policy/outlier_detector.py
+++ b/gateway/policy/outlier_detector.py
@@ -17,8 +17,10 @@
 
 INITIAL_LATENCY_SECONDS = 0.3  # assumed before the first response
 OUTLIER_FACTOR = 2.5  # multiple of the mean latency at which an endpoint is an outlier and an attempt is hung
-EJECTION_FACTOR = 8.0  # raises the latency after a failed connection, and the load for an unresponsive class
-UNRESPONSIVE_LIFETIME_SECONDS = 2 * DECAY_SECONDS  # time for which the load for that class stays raised
+# A failed connection raises an endpoint's latency to this multiple of the mean.  For requests of a class
+# to which the endpoint is unresponsive, its load is multiplied by this.
+EJECTION_FACTOR = 8.0
+UNRESPONSIVE_LIFETIME_SECONDS = 2 * DECAY_SECONDS  # time for which the load for that class is multiplied
 
 
 def initial_latency_average() -> MovingAverage:
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -15,10 +15,10 @@
     from gateway.policy.load_balancer import LoadBalancer
     from gateway.policy.pending_request import PendingRequest
 
-# Both waits are multiples of the mean latency of the request's class.
-UNRESPONSIVE_LATENCIES = 6.0  # without any response to the class: the endpoint counts as unresponsive
-LOST_ATTEMPT_LATENCIES = 10.0  # without a response to one attempt, while others get theirs: it counts as lost
-BACKOFF_BASE = 2.0  # factor on both waits for each earlier attempt of the request
+# Waits for a response, in multiples of the mean latency of the request's class.
+UNRESPONSIVE_LATENCIES = 6.0  # an endpoint is unresponsive if no request of the class gets a response
+LOST_ATTEMPT_LATENCIES = 10.0  # an attempt is lost even if other requests of the class get responses
+BACKOFF_BASE = 2.0  # both waits are multiplied by this for each earlier attempt of the request
 BUDGET_PER_REQUEST = 0.1  # replacements of stalled attempts that each first attempt adds to the budget
 INITIAL_BUDGET = 1.0  # replacements of stalled attempts
 MAX_BUDGET = 10.0  # replacements of stalled attempts that may be saved up
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -14,7 +14,7 @@
 STRIDE_FRACTION = 0.618  # of the ring between consecutive gateways, as a customer's gateways are consecutive
 
 
-@functools.lru_cache(maxsize=1024)  # each result takes a comparison of as many strides as there are gateways
+@functools.lru_cache(maxsize=1024)  # each computation compares as many strides as there are gateways
 def ring_offset(gateway_index: int, gateway_count: int) -> float:
     """Return a gateway's position on the ring, from 0 to 1.
 
--- a/gateway/policy/tick_timer.py
+++ b/gateway/policy/tick_timer.py
@@ -9,7 +9,7 @@
 
 SLOW_TICK_FACTOR = 2  # ticks per slow tick
 SLOW_TICK_SECONDS = SLOW_TICK_FACTOR * TICK_SECONDS  # period of the timer while no request waits
-MIN_DELAY_SECONDS = EPSILON  # a timer may fire this much too early, as drivers round its time down
+MIN_DELAY_SECONDS = EPSILON  # a driver may round a timer's time down, so that it fires this much early
 
 
 @dataclass(slots=True)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -149,12 +149,12 @@
 ENTRIES = st.lists(
     st.tuples(st.integers(1, 50), st.sampled_from(EndpointState), st.integers(0, 2)), max_size=12
 )
-ANSWERS = st.sampled_from([Outcome.OK, Outcome.OVERLOADED, Outcome.RESET])
+OUTCOMES = st.sampled_from([Outcome.OK, Outcome.OVERLOADED, Outcome.RESET])
 STEPS: st.SearchStrategy[Step] = st.one_of(
     st.builds(lambda entries: methodcaller("update", UpdateKind.DELTA, entries), ENTRIES),
     st.builds(lambda entries: methodcaller("update", UpdateKind.SNAPSHOT, entries), ENTRIES),
     st.builds(lambda class_index: methodcaller("request", class_index), st.integers(0, 1)),
-    st.builds(lambda outcome: methodcaller("finish_oldest", outcome), ANSWERS),
+    st.builds(lambda outcome: methodcaller("finish_oldest", outcome), OUTCOMES),
 )
 
 
