--- a/gateway/driver/action_executor.py
+++ b/gateway/driver/action_executor.py
@@ -61,7 +61,7 @@
             AddToCounter: self._add_to_counter,
             SetTimer: lambda action: timers.set(action.at, action.token),
             Probe: self._probe,
-            CloseIdle: lambda action: upstream.close_idle(action.endpoint_id),
+            CloseIdle: lambda action: upstream.close_idle_connections(action.endpoint_id),
             Log: lambda action: log.info("policy: %s", action.text),
         }
 
@@ -95,7 +95,7 @@
         if self.counter is None:
             self._deliver(CounterReply(action.name, Outcome.CONNECT_FAILED, total=0.0, elapsed=0.0))
         else:
-            self.counter.add(action)
+            self.counter.add_to_counter(action)
 
     def _probe(self, action: Probe) -> None:
         endpoint_id = action.endpoint_id
--- a/tests/process/services.py
+++ b/tests/process/services.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from tests.support.fake_discovery import FakeDiscoveryAgent, host_line
+from tests.support.fake_discovery import FakeDiscoveryAgent, host_entry
 from tests.support.fake_server import FakeServer, Handler, server_address
 from tests.support.gateway import UNREACHABLE, config_text
 
@@ -25,17 +25,17 @@
     async def start_endpoints(self, endpoints: Sequence[FakeServer | Handler]) -> list[dict[str, Any]]:
         """Start endpoints and return them as a discovery agent lists them."""
         addresses = await self.start_servers(endpoints)
-        return [host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
+        return [host_entry(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)]
 
 
 def unreachable_host() -> dict[str, Any]:
     """Return an endpoint that cannot be reached, as a discovery agent lists it."""
-    return host_line("s-00000001", UNREACHABLE)
+    return host_entry("s-00000001", UNREACHABLE)
 
 
 def publish_snapshot(agent: FakeDiscoveryAgent, version: int, hosts: list[dict[str, Any]]) -> None:
     """Set the snapshot of the endpoint list with which an agent answers."""
-    agent.whole = json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
+    agent.snapshot = json.dumps({"seq": version, "whole": True, "hosts": hosts}).encode()
 
 
 def write_config(
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -13,7 +13,7 @@
 from gateway.policy.actions import Action, Cancel, SetTimer, StartAttempt
 from gateway.policy.events import AttemptFinished, Outcome, Request, TimerFired
 from tests.support.event_loop import async_test, until
-from tests.support.fake_endpoint import CLOSED_WITHOUT_RESPONSE, FakeEndpoint, keep_silent
+from tests.support.fake_endpoint import CLOSED_WITHOUT_RESPONSE, FakeEndpoint, send_no_response
 from tests.support.fake_server import LOOPBACK, listening
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
@@ -60,7 +60,7 @@
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [outcome]
-        assert len(endpoint.seen) == 1  # the driver retries nothing by itself
+        assert len(endpoint.requests) == 1  # the driver retries nothing by itself
 
 
 @pytest.mark.parametrize(
@@ -78,10 +78,10 @@
 
     The buffers of loopback sockets always have room for 64 KiB, so the test calls it instead.
     """
-    endpoint = FakeEndpoint(keep_silent)
+    endpoint = FakeEndpoint(send_no_response)
     async with gateway_with_client(endpoint) as gateway:
         response = asyncio.create_task(gateway.client.send_request(NON_IDEMPOTENT_CLASS))
-        await until(lambda: endpoint.seen)
+        await until(lambda: endpoint.requests)
         (connection,) = gateway.process.driver.upstream.pools[FIRST_ENDPOINT].connections
         if has_unsent_bytes:
             connection.pause_writing()
@@ -112,15 +112,15 @@
 @async_test
 async def test_attempt_on_a_stale_pooled_connection_is_a_reset_and_not_retried() -> None:
     def respond_once(_message: Message) -> bytes:
-        return http_response(body=b"x") if len(endpoint.seen) == 1 else CLOSED_WITHOUT_RESPONSE
+        return http_response(body=b"x") if len(endpoint.requests) == 1 else CLOSED_WITHOUT_RESPONSE
 
     endpoint = FakeEndpoint(respond_once)
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 200
         assert (await gateway.client.send_request(NON_IDEMPOTENT_CLASS)).status == 502
         assert gateway.policy.outcomes() == [Outcome.OK, Outcome.RESET]
-        assert endpoint.opened == 1
-        assert len(endpoint.seen) == 2
+        assert endpoint.accepted_connections == 1
+        assert len(endpoint.requests) == 2
 
 
 class RetryOnSecondEndpoint:
@@ -143,7 +143,7 @@
             ]
         if isinstance(event, TimerFired) and not self.attempt_timeout:
             # An attempt is in flight only once the endpoint has the complete request.
-            return [Cancel(1, 0)] if self.first_endpoint.seen else [SetTimer(0.0, POLL_TIMER)]
+            return [Cancel(1, 0)] if self.first_endpoint.requests else [SetTimer(0.0, POLL_TIMER)]
         if isinstance(event, AttemptFinished) and event.attempt == 0:
             return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
         return []
@@ -162,10 +162,10 @@
     open_connections_at_retry: list[int] = []
 
     def respond(_message: Message) -> bytes:
-        open_connections_at_retry.append(silent.open)
+        open_connections_at_retry.append(silent.open_connections)
         return http_response(body=b"second")
 
-    silent = FakeEndpoint(keep_silent)
+    silent = FakeEndpoint(send_no_response)
     script = RetryOnSecondEndpoint(silent, attempt_timeout)
     async with gateway_with_client(
         silent, FakeEndpoint(respond), react=script.react, caps__second_copies="false"
@@ -191,4 +191,4 @@
     async with gateway_with_client(endpoint, react=react, caps__second_copies="false") as gateway:
         assert (await gateway.client.send_request()).status == 200
         assert gateway.policy.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
-        assert len(endpoint.seen) == 1
+        assert len(endpoint.requests) == 1
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -9,10 +9,10 @@
 
 from gateway.config import Config, parse_config
 from gateway.process import GatewayProcess
-from tests.support.fake_discovery import host_line
+from tests.support.fake_discovery import host_entry
 from tests.support.fake_server import FakeServer, Handler, server_address
 from tests.support.http_client import HttpClient
-from tests.support.policy import BASE
+from tests.support.policy import BASE_SETTINGS
 from tests.support.scripted_policy import Reaction, ScriptedPolicy, do_nothing, forward_to_first
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         discovery: Address of the discovery agent; empty for an agent that cannot be reached.
         changes: Changed settings (dots written as double underscores).
     """
-    settings = BASE | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
+    settings = BASE_SETTINGS | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
     settings |= {key.replace("__", "."): value for key, value in changes.items()}
     if not counter:
         settings["extra.has_counter"] = "false"
@@ -105,7 +105,7 @@
     async with contextlib.AsyncExitStack() as stack:
         addresses = [await server_address(stack, endpoint) for endpoint in endpoints]
         cached_endpoints = [
-            host_line(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)
+            host_entry(f"s-{number:08x}", address) for number, address in enumerate(addresses, 1)
         ]
         counter_address = await server_address(stack, counter)
         process = GatewayProcess(make_config(cached_endpoints, counter_address, **changes))
