--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -39,11 +39,11 @@
 
     while transport.is_reading():
         request_count += 1
-        seen_before = len(endpoint.requests)
+        received_before = len(endpoint.requests)
         gateway.client.writer.write(gateway.client.encode_request())
 
-        def was_served(seen_before: int = seen_before) -> bool:
-            return len(endpoint.requests) > seen_before and not connection.pending_exchanges
+        def was_served(received_before: int = received_before) -> bool:
+            return len(endpoint.requests) > received_before and not connection.pending_exchanges
 
         await until(was_served)
     return PausedConnection(connection, request_count)
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -71,14 +71,14 @@
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
-        self.seen: list[Message] = []
+        self.costly_requests: list[Message] = []
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a connection."""
         while True:
             message = await read_message(reader)
             if message.headers.get("idempotency-key") == COSTLY_KEY:
-                self.seen.append(message)
+                self.costly_requests.append(message)
                 await self.release.wait()
             writer.write(http_response(body=b"done"))
 
@@ -93,14 +93,14 @@
         HttpClient(gateway.process.listener) as other,
     ):
         response = asyncio.ensure_future(gateway.client.send_request(KEYED_CLASS, Idempotency_Key=COSTLY_KEY))
-        await until(lambda: endpoint.seen)
+        await until(lambda: endpoint.costly_requests)
         sent_at = time.monotonic()
         while time.monotonic() - sent_at < COSTLY_SECONDS:
             set_observed_latency(gateway.process, KEYED_CLASS, USUAL_LATENCY_SECONDS)
             assert (await other.send_request(KEYED_CLASS)).status == 200
         endpoint.release.set()
         assert (await response).status == 200
-        assert len(endpoint.seen) == 1
+        assert len(endpoint.costly_requests) == 1
 
 
 @async_test
