--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -67,6 +67,18 @@
             f"entry matches no test: {PARAMETRISED_TEST}[3]",
             id="unknown test",
         ),
+        pytest.param(
+            f"bench day {FAILING_TEST} | {OTHER_FIELDS}\n",
+            USAGE_ERROR,
+            f"entry matches no test: bench day {FAILING_TEST}",
+            id="test called a bench day",
+        ),
+        pytest.param(
+            f"bench day | {OTHER_FIELDS}\n",
+            USAGE_ERROR,
+            "entry matches no test: bench day",
+            id="bench day without a name",
+        ),
         pytest.param(f"{FAILING_TEST}\n", USAGE_ERROR, "not of the form", id="only a test"),
         pytest.param(
             f"{FAILING_TEST} | a cause | issue 8\n", USAGE_ERROR, "not of the form", id="three fields"
@@ -116,3 +128,11 @@
     exit_status, output = run_pytest(tmp_path, known_red, "tests/test_sample.py", "-k", "good")
     assert exit_status == 0
     assert "1 passed" in output
+
+
+def test_an_entry_for_a_bench_day_is_printed_and_deselects_nothing(tmp_path: Path) -> None:
+    entry = f"bench day soak | {OTHER_FIELDS}"
+    exit_status, output = run_pytest(tmp_path, f"{entry}\n")
+    assert exit_status == 1
+    assert "2 failed, 2 passed" in output
+    assert f"known red, not run here: {entry}" in output
