--- a/gateway/counter/call_expiry.py
+++ b/gateway/counter/call_expiry.py
@@ -22,7 +22,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, timeout_seconds: float) -> None:
         self.timeout_seconds = timeout_seconds
         self._loop = loop
-        self._calls: deque[CounterCall] = deque()  # oldest first; a settled call is removed at its timeout
+        # Oldest first; a settled call is removed at its timeout at the latest.
+        self._calls: deque[CounterCall] = deque()
         self._timer: asyncio.TimerHandle | None = None
 
     def schedule(self, call: CounterCall) -> None:
--- a/gateway/counter/call_pipeline.py
+++ b/gateway/counter/call_pipeline.py
@@ -14,7 +14,7 @@
 
 
 class CallPipeline:
-    """Queues calls until they may be written, and matches replies to the written calls, oldest first."""
+    """Queues calls until they can be written, and matches replies to the written calls, oldest first."""
 
     def __init__(self) -> None:
         self._queued: deque[CounterCall] = deque()  # not written yet
@@ -36,7 +36,7 @@
         return all(call.is_settled for call in self._written)
 
     def enqueue(self, call: CounterCall) -> None:
-        """Queue a call that may not be written yet."""
+        """Queue a call that cannot be written yet."""
         self._queued.append(call)
 
     def dequeue(self) -> CounterCall | None:
@@ -44,7 +44,7 @@
         return self._queued.popleft() if self._queued else None
 
     def append_written(self, call: CounterCall | Ping) -> None:
-        """Await the reply to a call that is written after all earlier ones."""
+        """Record a call as written; its reply follows the replies to all earlier calls."""
         self._written.append(call)
 
     def transfer_queue(self, successor: CallPipeline, connection: CallConnection) -> None:
@@ -77,8 +77,8 @@
     def fail_written(self, *, has_unsent_bytes: bool) -> None:
         """Settle the written calls after their connection was lost.
 
-        `has_unsent_bytes` tells whether some written bytes were never sent.  With several calls it is unknown
-        to which of them these bytes belong; a single call was then not sent in full, so it was not added.
+        `has_unsent_bytes` tells whether some written bytes were never sent.  If so, a single written call was
+        not sent in full, so it was not added; of several calls, each one may have been added.
         """
         written = self._written
         self._written = deque()
--- a/gateway/counter/client.py
+++ b/gateway/counter/client.py
@@ -18,7 +18,7 @@
     from gateway.policy.events import CounterReply
 
 CONNECTION_COUNT = 4  # the counter accepts at most 32 connections from one gateway
-LIVENESS_CHECK_SECONDS = PING_INTERVAL_SECONDS / 2  # interval at which all connections are checked
+LIVENESS_CHECK_SECONDS = PING_INTERVAL_SECONDS / 2  # interval between checks of the connections in use
 
 
 class CounterClient:
@@ -108,7 +108,7 @@
         self._liveness_timer = self.loop.call_later(LIVENESS_CHECK_SECONDS, self._check_liveness)
 
     def close(self) -> None:
-        """Close all connections; pending calls get no reply."""
+        """Close the connections in use and their replacements, and stop the timeout of calls."""
         self.is_closed = True
         self._liveness_timer.cancel()
         self.call_expiry.cancel()
--- a/gateway/counter/connection.py
+++ b/gateway/counter/connection.py
@@ -21,7 +21,9 @@
 
 MAX_PENDING_CALLS = 1000  # queued or awaiting a reply on one connection
 PING_INTERVAL_SECONDS = 2.0  # a PING after this idle time keeps the connection from being closed
-REPLY_TIMEOUT_SECONDS = 2.0  # without a byte while calls are pending: the counter's machine is likely down
+# A connection without any byte for this time while a reply is awaited is closed, as the counter's machine is
+# likely down.
+REPLY_TIMEOUT_SECONDS = 2.0
 CONNECT_TIMEOUT_SECONDS = 1.0
 MIN_RETRY_DELAY_SECONDS = 0.05  # after the first failed attempt to connect, then doubled
 MAX_RETRY_DELAY_SECONDS = 1.0
@@ -39,7 +41,7 @@
 
 
 ALLOWED_TRANSITIONS = {
-    # To OPEN: the event loop may report the connection as made just after the attempt has timed out.
+    # DISCONNECTED to OPEN: the event loop may report a connection as made just after the attempt timed out.
     ConnectionState.DISCONNECTED: {ConnectionState.CONNECTING, ConnectionState.OPEN},
     ConnectionState.CONNECTING: {ConnectionState.OPEN, ConnectionState.DISCONNECTED},
     ConnectionState.OPEN: {ConnectionState.DRAINING, ConnectionState.DISCONNECTED},
@@ -73,9 +75,9 @@
 class CounterConnection(asyncio.Protocol):
     """One connection to the counter at a fixed address; it reconnects as long as its owner uses it.
 
-    The event loop calls the methods of `asyncio.Protocol`, and the owner calls the others.  The successor
-    given to `replace_with` writes nothing until all calls written here are settled, so that the policy gets
-    the replies to calls of one name in the order of the calls.
+    The event loop calls the methods of `asyncio.Protocol`.  The successor given to `replace_with` writes
+    nothing until all calls written on this connection are settled, so that the policy gets the replies to
+    calls of one name in the order of the calls.
     """
 
     def __init__(self, owner: ConnectionOwner, address: Address) -> None:
@@ -83,7 +85,7 @@
         self.state = ConnectionState.DISCONNECTED
         self.pipeline = CallPipeline()
         # Monotonic time in seconds from which the counter's silence is measured: when the connection opened,
-        # bytes arrived, or a call was written while no other was pending.
+        # bytes arrived, or a call was written while no other awaited a reply.
         self.silent_since = 0.0
         self._owner = owner
         self._predecessor: CounterConnection | None = None  # replaced by this connection, and not drained yet
@@ -133,7 +135,7 @@
         self._close_when_drained()
 
     def replace_with(self, successor: CounterConnection) -> None:
-        """Drain this connection: it keeps its written calls, and its queued calls move to the successor."""
+        """Drain this connection: it awaits the pending replies; its queued calls move to the successor."""
         self._successor = successor
         successor.set_predecessor(self)
         self.pipeline.transfer_queue(successor.pipeline, successor)
