--- a/gateway/discovery/client.py
+++ b/gateway/discovery/client.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from gateway.discovery.endpoint_decoder import DecodedUpdate, EndpointDecoder
 
-UpdateListener = Callable[[EndpointUpdate, dict[int, Address]], None]
+UpdateCallback = Callable[[EndpointUpdate, dict[int, Address]], None]
 
 
 class DiscoveryClient:
@@ -26,7 +26,7 @@
         agent_watches: The active watch, followed by its replacement while the address changes.
     """
 
-    def __init__(self, address: Address, decoder: EndpointDecoder, on_update: UpdateListener) -> None:
+    def __init__(self, address: Address, decoder: EndpointDecoder, on_update: UpdateCallback) -> None:
         self.decoder = decoder
         self.on_update = on_update
         self.loop = asyncio.get_running_loop()
--- a/gateway/discovery/endpoint_decoder.py
+++ b/gateway/discovery/endpoint_decoder.py
@@ -54,7 +54,7 @@
 
 
 class EndpointDecoder:
-    """Decodes updates, and remembers the host name of each endpoint id to detect collisions.
+    """Decodes updates, and stores the host name of each endpoint id to detect collisions.
 
     When two host names have the same id, the second is skipped, as the policy could not tell them apart.
 
@@ -105,7 +105,7 @@
         return DecodedUpdate(update, addresses)
 
     def _decode_endpoints(self, hosts: list[Any], kind: UpdateKind) -> list[DecodedEndpoint]:
-        """Decode the valid endpoints; a complete list also replaces the known host names."""
+        """Decode the valid endpoints; a snapshot or cached list also replaces the stored host names."""
         if kind is UpdateKind.DELTA:
             return self._decode_valid(hosts)
         previous_host_names = self.host_names
--- a/gateway/discovery/endpoint_watch.py
+++ b/gateway/discovery/endpoint_watch.py
@@ -132,7 +132,7 @@
             self.wake_up()
 
     def wake_up(self) -> None:
-        """Have the supervisor check immediately whether a new connection is needed."""
+        """Have the supervisor check whether a new connection is needed."""
         self._supervisor.wake_up()
 
     def close(self) -> None:
--- a/gateway/discovery/json_stream.py
+++ b/gateway/discovery/json_stream.py
@@ -12,9 +12,9 @@
 class JsonStream:
     """Buffers received bytes and returns each complete document.
 
-    An empty line between documents, which agents send as a heartbeat, is returned as an empty document.  A
-    document with unclosed brackets ends at an empty line, or before a line that is a complete update, so that
-    later documents are not lost.
+    A newline after a document, and an empty line, which agents send as a heartbeat, are each returned as an
+    empty document.  A document with unclosed brackets ends at an empty line, or before a line that is a
+    complete update, so that later documents are not lost.
     """
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
 def _is_complete_update(line: bytes) -> bool:
     """Return whether a line is a complete update rather than part of an indented document.
 
-    A line of an indented update may be a complete object as well, namely an endpoint, but without a list.
+    An endpoint of an indented update may also be a complete object on one line, but it contains no list.
     """
     is_object = line.startswith(b"{") and line.endswith(b"}")
     if not is_object or b"[" not in line:
--- a/gateway/discovery/watch_connection.py
+++ b/gateway/discovery/watch_connection.py
@@ -42,7 +42,7 @@
     version: int
 
     def accept_snapshot(self, connection: WatchConnection, document: bytes) -> bool:
-        """Publish a snapshot; return false if the document is not one."""
+        """Publish a snapshot; return false if the document is not a snapshot."""
         ...
 
     def apply_update(self, connection: WatchConnection, document: bytes) -> bool:
@@ -54,7 +54,7 @@
         ...
 
     def wake_up(self) -> None:
-        """Check immediately whether a new connection is needed."""
+        """Check whether a new connection is needed."""
         ...
 
 
@@ -62,7 +62,7 @@
     """One connection to an agent, which parses HTTP responses and the JSON documents in them.
 
     The event loop calls the methods of `asyncio.Protocol`, and the HTTP parser calls the methods named
-    `on_...`.  Each connection first requests a snapshot, as the agent may not know the version of a
+    `on_...`.  Each connection first requests a snapshot, as the agent may not recognize the version of a
     snapshot that was received on another connection.  The watch is a chunked response of JSON documents.
 
     Attributes:
@@ -156,6 +156,6 @@
     def connection_lost(self, _error: Exception | None) -> None:
         """Notify the watch that this connection is closed."""
         self._set_state(WatchState.CLOSED)
-        if not self.closed.done():  # cancelling the task that awaits it also cancels the future
+        if not self.closed.done():  # it is already cancelled if the task that awaits it was cancelled
             self.closed.set_result(None)
         self._consumer.wake_up()
--- a/gateway/discovery/watch_supervisor.py
+++ b/gateway/discovery/watch_supervisor.py
@@ -13,9 +13,9 @@
     from gateway.discovery.connection_set import WatchConnectionSet
     from gateway.discovery.watch_connection import WatchConnection
 
-MIN_RETRY_DELAY_SECONDS = 0.25  # between attempts; well below 1 s, for which an endpoint may drain
+MIN_RETRY_DELAY_SECONDS = 0.25  # between attempts; short, as an endpoint may drain for only 1 s
 MAX_RETRY_DELAY_SECONDS = 0.5  # between attempts while the agent responds
-BACKOFF_RESET_SECONDS = 2 * MAX_RETRY_DELAY_SECONDS  # reset the backoff if the last attempt is older
+BACKOFF_RESET_SECONDS = 2 * MAX_RETRY_DELAY_SECONDS  # the backoff is reset if the last attempt is older
 
 
 class WatchStatus(Protocol):
@@ -67,7 +67,7 @@
         self._attempted_at = time.monotonic()
 
     def _is_responding(self) -> bool:
-        """Return whether bytes were received on the last attempt, or on any other that is still open."""
+        """Return whether bytes were received on the last attempt, or on an earlier one that is still open."""
         active = self._watch.active_connection
         attempts = [connection for connection in self._connections if connection is not active]
         if self._last_attempt is not None:
@@ -81,7 +81,7 @@
                 await self._woken_up.wait()
 
     def wake_up(self) -> None:
-        """Check the watch immediately."""
+        """Check the watch immediately, or after the delay that follows an attempt."""
         self._woken_up.set()
 
     def close(self) -> None:
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -21,7 +21,7 @@
 async def test_snapshots_and_deltas_are_decoded_and_passed_on() -> None:
     entry = host_entry("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
     gone = entry | {"health": "Gone"}
-    agent = FakeDiscoveryAgent([update_json(42, entry, complete=True), b"", update_json(43, gone)])
+    agent = FakeDiscoveryAgent([update_json(42, entry, is_snapshot=True), b"", update_json(43, gone)])
     async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(received.updates) == 3)
         assert agent.targets == ["/api/targets", "/api/targets?watch=1&from=41"]
@@ -43,8 +43,8 @@
 # until the new agent has sent a snapshot, of whatever version, and then the old agent is disconnected.
 @async_test
 async def test_a_new_agent_is_used_once_it_has_sent_a_snapshot() -> None:
-    old_agent = FakeDiscoveryAgent(snapshot=update_json(90, FIRST_ENDPOINT, complete=True))
-    new_agent = GatedAgent(snapshot=update_json(3, SECOND_ENDPOINT, complete=True))
+    old_agent = FakeDiscoveryAgent(snapshot=update_json(90, FIRST_ENDPOINT, is_snapshot=True))
+    new_agent = GatedAgent(snapshot=update_json(3, SECOND_ENDPOINT, is_snapshot=True))
     async with (
         listening(new_agent.handle) as new_address,
         discovery_client_for(old_agent.handle) as (client, received),
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -27,7 +27,7 @@
 from tests.support.fake_discovery import END_OF_WATCH, FakeDiscoveryAgent
 
 MAX_UPDATE_DELAY_SECONDS = 6.0  # required by the operators
-FAULTY_ATTEMPTS = 4  # consecutive failures after which an update must still be received within that time
+FAULTY_ATTEMPTS = 4  # consecutive failures in spite of which an update must be received in that time
 
 
 @pytest.fixture
@@ -42,7 +42,7 @@
 
 
 async def check_that_the_next_update_is_applied(received: ReceivedUpdates) -> None:
-    """Check that the update after the malformed one, of version 43, is applied."""
+    """Check that the update of version 43, which follows the malformed one, is applied."""
     await received.until_version(43)
     assert received.endpoint_ids == [FIRST_ENDPOINT_ID]
     assert received.versions in ([FIRST_VERSION, 43], [FIRST_VERSION, 42, 43])
@@ -51,7 +51,7 @@
 async def check_that_a_new_snapshot_is_fetched(agent: FakeDiscoveryAgent, received: ReceivedUpdates) -> None:
     """Check that a snapshot is fetched on a new connection, and that the old connection is then closed."""
     agent.watch_lines.clear()
-    agent.snapshot = update_json(44, SECOND_ENDPOINT, complete=True)
+    agent.snapshot = update_json(44, SECOND_ENDPOINT, is_snapshot=True)
     await until(lambda: received.last_version == 44 and agent.open_connections == 1)
     assert [record.endpoint_id for record in received.updates[-1].records] == [SECOND_ENDPOINT_ID]
 
@@ -100,7 +100,7 @@
         assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # bounds the file descriptors
         recovered_at = time.monotonic()
         is_partitioned.clear()
-        agent.snapshot = update_json(42, complete=True)
+        agent.snapshot = update_json(42, is_snapshot=True)
         await received.until_version(42)
         # Sooner than an attempt made during the partition would have timed out.
         assert time.monotonic() - recovered_at < connection_set.ATTEMPT_IDLE_TIMEOUT_SECONDS
@@ -133,13 +133,13 @@
 @pytest.mark.usefixtures("no_silence_timeout")
 @async_test
 async def test_a_snapshot_of_an_older_version_is_not_applied() -> None:
-    outdated = update_json(42, FIRST_ENDPOINT, complete=True)
+    outdated = update_json(42, FIRST_ENDPOINT, is_snapshot=True)
     agent = FakeDiscoveryAgent([update_json(50), outdated])
     async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) >= 4)
         assert 42 not in received.versions
         agent.watch_lines.clear()
-        agent.snapshot = update_json(7, complete=True)
+        agent.snapshot = update_json(7, is_snapshot=True)
         await received.until_version(7)
 
 
@@ -162,7 +162,7 @@
     async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
         agent.watch_lines.clear()
-        agent.snapshot = update_json(7, FIRST_ENDPOINT, complete=True)
+        agent.snapshot = update_json(7, FIRST_ENDPOINT, is_snapshot=True)
         await until(lambda: len(agent.targets) == 4)
         assert agent.targets[3] == "/api/targets?watch=1&from=7"
         agent.watch_lines += [update_json(7), update_json(8)]  # the first of these is outdated
@@ -176,7 +176,7 @@
         await until(lambda: len(agent.targets) == 2)
         changed_at = time.monotonic()
         agent.remaining = FAULTY_ATTEMPTS
-        agent.snapshot = update_json(42, complete=True)
+        agent.snapshot = update_json(42, is_snapshot=True)
         await received.until_version(42)
         return time.monotonic() - changed_at
 
@@ -201,13 +201,13 @@
         assert len(watch.connections) <= endpoint_watch.MAX_CONNECTIONS  # bounds the file descriptors
         recovered_at = time.monotonic()
         agent.remaining = 0
-        agent.snapshot = update_json(42, complete=True)
+        agent.snapshot = update_json(42, is_snapshot=True)
         await received.until_version(42)
         return time.monotonic() - recovered_at
 
 
-# Guards the same requirement after a long fault: whatever state the earlier attempts are in, a snapshot is
-# received soon after the agent recovers.
+# Guards against attempts made during a long fault that delay the first one after the agent recovers: a
+# snapshot must be received soon, whatever state those attempts are in.
 @async_test
 async def test_a_snapshot_is_received_soon_after_a_long_fault() -> None:
     seconds = await asyncio.gather(*(measure_recovery_delay(FaultyAgent(fault)) for fault in AgentFault))
@@ -218,8 +218,8 @@
 @async_test
 async def test_a_delayed_outdated_snapshot_does_not_replace_a_newer_one() -> None:
     agent = DelayedResponseAgent(
-        old_snapshot=update_json(41, FIRST_ENDPOINT, complete=True),
-        new_snapshot=update_json(42, complete=True),
+        old_snapshot=update_json(41, FIRST_ENDPOINT, is_snapshot=True),
+        new_snapshot=update_json(42, is_snapshot=True),
     )
     async with discovery_client_for(agent.handle) as (_, received):
         await until(lambda: len(agent.targets) == 2)
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -14,7 +14,7 @@
 
 
 def feed_in_pieces(text: bytes, size: int) -> list[bytes]:
-    """Feed a text in pieces of a size in bytes, and return the documents."""
+    """Feed a text in pieces of `size` bytes, and return the documents."""
     stream = JsonStream()
     documents = []
     for start in range(0, len(text), size):
--- a/tests/process/test_start_endpoint_list.py
+++ b/tests/process/test_start_endpoint_list.py
@@ -26,7 +26,7 @@
 
 def gated_agent() -> GatedAgent:
     """Return an agent whose list has another endpoint than the cached list."""
-    return GatedAgent(update_json(42, CURRENT_ENDPOINT, complete=True))
+    return GatedAgent(update_json(42, CURRENT_ENDPOINT, is_snapshot=True))
 
 
 @contextlib.asynccontextmanager
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -33,9 +33,9 @@
 SECOND_ENDPOINT_ID = 8
 
 
-def update_json(version: int, *hosts: Any, complete: bool = False) -> bytes:
+def update_json(version: int, *hosts: Any, is_snapshot: bool = False) -> bytes:
     """Return a snapshot or a delta as an agent sends it."""
-    return json.dumps({"seq": version, "whole": complete, "hosts": hosts}).encode()
+    return json.dumps({"seq": version, "whole": is_snapshot, "hosts": hosts}).encode()
 
 
 def make_decoder() -> EndpointDecoder:
