--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -5,9 +5,9 @@
 import signal
 
 if __name__ == "__main__":
-    # The default action of SIGHUP would terminate the process.  Until the event loop handles the signal, no
-    # configuration has been read that a reload could update, so the signal is ignored.  This precedes the
-    # imports below, as they take most of the start-up time.
+    # The default action of SIGHUP would terminate the process.  The signal is ignored until the event loop
+    # handles it, as there is no configuration to reload before that.  This precedes the imports below, as
+    # they take most of the start-up time.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import os
--- a/gateway/config/keys.py
+++ b/gateway/config/keys.py
@@ -1,6 +1,6 @@
 """The names of environment variables and of the keys in the configuration file.
 
-Each constant has the name of the field of `Config` or `ResourceLimits` that it sets, unless noted.
+Each constant has the name of the field of `Config` that it sets, unless noted.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 SEED = "seed"  # in hexadecimal
 CACHED_ENDPOINTS = "known"
 LIMITS = "limits"  # section from which resource_limits is computed
-SETTINGS = "settings"  # section with the policy's settings (see gateway.settings_keys) and the keys below
+SETTINGS = "settings"  # section with the policy's settings (see gateway.settings_keys) and a few others
 
-# Keys of the section LIMITS.
+# Keys of the section LIMITS, which set no field of their own.
 MAX_SOCKETS = "sockets"
 MEMORY_MEGABYTES = "memory_mb"
 
--- a/gateway/config/resource_limits.py
+++ b/gateway/config/resource_limits.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 RESERVED_SOCKETS = 44  # descriptors that are not used for connections to clients or endpoints
-SURPLUS_CLIENTS_FRACTION = 1 / 16  # of the descriptors, for client connections that are only rejected
-MIN_SURPLUS_CLIENTS = 8  # client connections that are only rejected
+SURPLUS_CLIENTS_FRACTION = 1 / 16  # of the descriptors, for surplus client connections
+MIN_SURPLUS_CLIENTS = 8  # client connections whose requests are only rejected
 BODY_MEMORY_FRACTION = 1 / 8  # of the memory, for buffered request bodies
 BYTES_PER_MEGABYTE = 1 << 20
 
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Both are short, as an unavailable counter or discovery agent must not keep the process from serving.
+# Both timeouts are short, as the process must also serve while the counter or discovery is unavailable.
 COUNTER_START_TIMEOUT_SECONDS = 0.3  # for the first connection to the counter
 ENDPOINT_LIST_TIMEOUT_SECONDS = 1.0  # for the first endpoint list, as the cached one may be outdated
 
--- a/gateway/serve.py
+++ b/gateway/serve.py
@@ -42,6 +42,6 @@
     except OSError as error:
         raise ConfigError(f"listen: cannot listen on {config.listen}: {error}") from None
     gc.collect()
-    gc.freeze()  # exempts the objects created so far, which live as long as the process, from collections
+    gc.freeze()  # exempts the objects created so far, which live as long as the process, from collection
     await terminated.wait()
     await process.drain()
--- a/scaletest/membership.py
+++ b/scaletest/membership.py
@@ -190,5 +190,5 @@
 
 
 def _release_actions(policy: Policy) -> None:
-    """Pass an event without actions to a policy, so that it frees the actions of its last event."""
+    """Pass an event that causes no actions to a policy, so that it frees the actions of its last event."""
     policy.handle(synthetic_fleet.CLOCK_START, ClientDisconnected(request_id=0))
--- a/scaletest/synthetic_fleet.py
+++ b/scaletest/synthetic_fleet.py
@@ -119,7 +119,7 @@
 
 
 def snapshot_bytes(endpoints: tuple[EndpointRecord, ...]) -> int:
-    """Return the size in bytes of the snapshot with these endpoints that discovery would send."""
+    """Return the size in bytes of the snapshot that discovery would send for these endpoints."""
     hosts = [_wire_record(index, endpoint) for index, endpoint in enumerate(endpoints)]
     return len(json.dumps({"seq": 1, "whole": True, "hosts": hosts}, separators=(",", ":")))
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -54,7 +54,7 @@
 async def test_sighup_applies_changed_addresses_and_ignores_a_malformed_file(
     config_path: Path,
 ) -> None:
-    """Neither SIGHUP nor a malformed file may terminate the process or disconnect its services."""
+    """SIGHUP must not terminate the process, nor may a malformed file disconnect its services."""
     setup = ReloadSetUp(config_path)
     agents = setup.agents
     counters = setup.counters
