--- a/gateway/config/parser.py
+++ b/gateway/config/parser.py
@@ -24,7 +24,7 @@
 
 
 def load_config(env: Mapping[str, str], *, is_reload: bool = False) -> Config:
-    """Read and parse the file named by NODE_CONFIG; the arguments are those of `parse_config`.
+    """Read and parse the file named by NODE_CONFIG; see `parse_config` for the arguments.
 
     Raises:
         ConfigError: The file cannot be read, or the configuration is invalid.
--- a/gateway/counter/call_pipeline.py
+++ b/gateway/counter/call_pipeline.py
@@ -61,7 +61,7 @@
     def expire(self, call: CounterCall) -> None:
         """Settle a call whose timeout has passed."""
         if call in self._queued:
-            self._queued.remove(call)  # never written, so it was not added and will not be
+            self._queued.remove(call)  # never written, so the counter does not add it
             call.settle(Outcome.CONNECT_FAILED)
         else:
             # The call remains among the written ones, so that its late reply is not matched to the next call.
--- a/gateway/discovery/connection_set.py
+++ b/gateway/discovery/connection_set.py
@@ -13,7 +13,7 @@
 
     from gateway.address import Address
 
-ATTEMPT_IDLE_TIMEOUT_SECONDS = 1.0  # without a received byte; short, as the agent is on the same machine
+ATTEMPT_IDLE_TIMEOUT_SECONDS = 1.0  # since the last received byte; short, as the agent is on the same machine
 SNAPSHOT_TIMEOUT_SECONDS = 5.0  # from the start of an attempt until its snapshot is complete
 
 
