--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -20,7 +20,7 @@
     from gateway.policy.pending_request import PendingRequest
     from gateway.policy.quota import LeaseKey, QuotaKind
 
-MAX_WAIT_FRACTION = 0.25  # of the latency objective: longest wait of a request for a counter call
+MAX_WAIT_FRACTION = 0.25  # longest wait for a counter call, as a fraction of the latency objective
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +41,8 @@
 
     The engine calls `register` and `admit` for a new request, `stop_waiting` if its client disconnects,
     `release` when it has ended, `handle_counter_reply` for each reply of the counter and
-    `retry_deferred_leases` at each tick.
+    `retry_deferred_leases` at each tick.  Under a ceiling it calls `drop_expired_credit` before the first
+    attempt, and `admit` again if credits were dropped.
 
     Attributes:
         quota_kinds_by_plan: The kinds of quota that each plan has, by plan index.
@@ -91,7 +92,7 @@
         self.leases.release(self.tickets.pop(pending.request.request_id))
 
     def drop_expired_credit(self, pending: PendingRequest) -> bool:
-        """Drop a request's rate credits if they have expired; return whether they had."""
+        """Drop a request's rate credits if they have expired; return whether any were dropped."""
         return self.leases.drop_expired_credit(self.tickets[pending.request.request_id])
 
     def stop_waiting(self, pending: PendingRequest) -> None:
@@ -129,7 +130,7 @@
         self.leases.spend(lease, ticket, units)
 
     def _acquire_local_credits(self, lease: Lease, ticket: AdmissionTicket, units: float) -> bool:
-        """Acquire credits by the local quota, reported to the counter later, or reject the request."""
+        """Acquire credits of the local quota, which a later call adds to the total, or reject the request."""
         if not self.local_admission.has_tokens(lease, units):
             self.reject(ticket.pending, self.context.settings.limits.max_retry_after / 2)
             return False
@@ -146,7 +147,10 @@
                 self._admit(ticket)
 
     def may_wait_for_lease(self, pending: PendingRequest) -> bool:
-        """Return whether a request should still wait for a call, as local admission may exceed the quota."""
+        """Return whether a request may wait longer for a counter call.
+
+        It waits as long as it may, because admission by the local quota can exceed the customer's quota.
+        """
         max_wait = MAX_WAIT_FRACTION * pending.request_class.latency_objective
         waiting_helps = self.rate_limiter.enabled and not self.rate_limiter.is_unavailable
         return waiting_helps and self.context.now - pending.arrived_at < max_wait
@@ -159,7 +163,7 @@
             self.deferred_leases[lease.quota.key] = lease
 
     def retry_deferred_leases(self) -> None:
-        """Request deferred leases, fewest denials first; admit overdue waiters by the local quota."""
+        """Request deferred leases, fewest denials first; apply the local quota to overdue waiters."""
         by_denials = sorted(self.deferred_leases.items(), key=lambda item: item[1].grants.consecutive_denials)
         for key, lease in by_denials:
             overdue = [pending for pending in lease.waiters if not self.may_wait_for_lease(pending)]
@@ -172,7 +176,7 @@
                 self._request_or_defer(lease)
 
     def handle_counter_reply(self, event: CounterReply) -> None:
-        """Apply a reply of the counter to the waiters of its lease."""
+        """Apply a reply of the counter to its lease and the waiters; make the calls that follow from it."""
         reply = self.calls.handle_reply(event)
         if reply is None:
             return
@@ -220,7 +224,7 @@
             self._admit(ticket)
 
     def _reject_waiters(self, lease: Lease) -> None:
-        """Reject all waiters, and further requests until the quota has the units that the next one needs."""
+        """Reject all waiters, and further requests until the oldest waiter's units should be available."""
         now = self.context.now
         denial = lease.denial(now)
         delay = denial.delay
@@ -232,7 +236,7 @@
             self.reject(pending, lease.grants.denied_until - now)
 
     def _denial_backoff(self, lease: Lease) -> float:
-        """Return a random factor on the delay that grows with consecutive denials.
+        """Count a denial; return the factor on its delay, which is random and grows with consecutive denials.
 
         It grows until about one gateway requests each unit that accrues.
         """
--- a/gateway/policy/admission_ticket.py
+++ b/gateway/policy/admission_ticket.py
@@ -1,4 +1,4 @@
-"""The admission state of one request: the leases that it needs credits of, and those it has."""
+"""The admission state of one request: the leases that it needs credits of, and those whose credits it has."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Attributes:
         pending: The request.
         leases: One lease for each quota of its customer's plan.
-        acquired_credits: The leases whose credits it holds, each with the refill index at which it got them.
+        acquired_credits: The leases whose credits the request holds, each with its refill index at that time.
     """
 
     pending: PendingRequest
--- a/gateway/policy/concurrency_ledger.py
+++ b/gateway/policy/concurrency_ledger.py
@@ -60,7 +60,7 @@
         return self.estimated_total / self.quota.limit
 
     def is_scarce(self, _now: float) -> bool:
-        """Return False: a lease keeps no unused slots."""
+        """Return False: slots are leased only when requests need them."""
         return False
 
     def is_half_available(self, _now: float) -> bool:
--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -1,4 +1,4 @@
-"""State that all parts of one policy share: settings, time, random numbers, actions; common constants."""
+"""State and constants that all parts of one policy share: settings, time, random numbers and actions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 TICK_SECONDS = 0.025  # timer period while a request waits
 DEADLINE_MARGIN_SECONDS = 0.03  # safety margin before a deadline or the end of a deduplication window
 EPSILON = 1e-4  # tolerance for units: the counter reports totals with seven digits
-LATENCY_WEIGHT = 0.1  # weight of the newest latency in a moving average
+LATENCY_WEIGHT = 0.1  # weight of the newest latency, or of a plan's newest grant, in a moving average
 # Weight of the newest grant or load report in a moving average, and of the attempts in flight that an
 # endpoint reports relative to those of this gateway.
 REPORT_WEIGHT = 0.3
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -12,7 +12,7 @@
 from gateway.policy.counter_ledger import TotalUpdate
 from gateway.policy.events import CounterReply, Outcome
 from gateway.policy.moving_average import MovingAverage
-from gateway.policy.quota import Grant, OverQuotaLease
+from gateway.policy.quota import Grant, OverQuotaLeaseRequest
 
 if TYPE_CHECKING:
     from gateway.policy.counter_rate_limiter import CounterRateLimiter
@@ -21,7 +21,7 @@
 
 MIN_CORRECTION = 0.02  # units; smaller errors of a total wait for the next lease request
 MAX_EXPIRY_SECONDS = 60.0  # longest time for which the counter keeps the total of a window
-INITIAL_GRANT_RATIO = 0.5  # of each plan, until its leases have replies
+INITIAL_GRANT_RATIO = 0.5  # grant ratio of a plan before the first reply to its lease requests
 
 
 class LeaseResult(Enum):
@@ -42,7 +42,7 @@
     Attributes:
         lease: The lease.
         result: The result of the request.
-        is_first_in_window: Whether a rate quota had no total of the current window before it.
+        is_first_in_window: Whether a rate quota had no total of the current window before this reply.
     """
 
     lease: Lease
@@ -100,17 +100,17 @@
         batch = ledger.next_batch(lease.sizer.batch_size, self.context.now)
         amount = max(needed, 1.0, batch.units)
         lease.request.mark_sent(amount, batch.overflow_units)
-        # Before the first total in a window, it is unknown whether others have added the carry-over and the
-        # overflow already; `report_carry_over` adds them after that.
+        # Before the first total in a window, it is unknown whether other gateways have already added the
+        # carry-over and the overflow; `report_carry_over` adds them once that total is known.
         if ledger.may_report_units():
             amount = amount + ledger.pop_unreported_units() + batch.overflow_units
         self._add(lease, amount, is_adjustment=False)
 
     def report_carry_over(self, lease: Lease) -> None:
-        """Add the deficit carried over into the window, and the overflow since, if no other gateway has."""
+        """Add the deficit carried over into the window and the overflow since, unless another gateway did."""
         units = lease.ledger.unreported_units + lease.request.overflow_units
-        # A unit or more is reported even above the call rate: until then, each gateway that requests the
-        # unit is granted it.
+        # A unit or more is reported even if the rate limiter allows no call: until it is in the total, each
+        # gateway that requests this unit is granted it.
         is_urgent = abs(units) >= 1
         if is_urgent or (abs(units) >= MIN_CORRECTION and self.rate_limiter.may_call()):
             lease.ledger.pop_unreported_units()
@@ -155,10 +155,10 @@
         is_first_in_window = not lease.ledger.may_report_units()
         if is_current and reply.outcome is Outcome.OK:
             in_flight_units = sum(later.amount for later in self.calls_in_flight.get(reply.name, ()))
-            total = TotalUpdate(
+            update = TotalUpdate(
                 reply.total, call.amount, in_flight_units, self.context.now, is_first_in_window
             )
-            self._reconcile(call, total)
+            self._reconcile(call, update)
         elif is_current:
             lease.handle_failed_call(call.amount, reply.outcome, is_adjustment=call.is_adjustment)
         if call.is_adjustment:
@@ -186,19 +186,23 @@
             return LeaseResult.REPORTED
         return LeaseResult.GRANTED if self._apply_grant(lease) else LeaseResult.DENIED
 
-    def _reconcile(self, call: PendingCall, total: TotalUpdate) -> None:
-        """Adopt a total of the current window; make a correcting call at once if its error is large."""
+    def _reconcile(self, call: PendingCall, update: TotalUpdate) -> None:
+        """Adopt a total of the current window; correct it now if it is a unit too high or calls are left."""
         lease = call.lease
-        if lease.ledger.reconcile(total):
+        if lease.ledger.reconcile(update):
             self.context.actions.append(Log(f"counter-lost customer={lease.quota.key.customer}"))
         if call.is_adjustment:
             return
-        units = lease.ledger.correct_total(lease.request, total)
+        units = lease.ledger.correct_total(lease.request, update)
         if units <= -1 or (abs(units) >= MIN_CORRECTION and self.rate_limiter.may_call()):
             self._add(lease, lease.ledger.pop_unreported_units(), is_adjustment=True)
 
     def _apply_grant(self, lease: Lease) -> bool:
-        """Add the granted units to the lease and return the others; return whether all units were granted."""
+        """Add the granted units to the lease and subtract the others from the total.
+
+        Returns:
+            Whether all requested units were granted.
+        """
         now = self.context.now
         requested = lease.request.requested_units
         excess_units = max(0.0, lease.ledger.excess_units(now))
@@ -206,7 +210,9 @@
         if all_granted:
             grant = Grant(max(0.0, requested - excess_units))
         else:
-            over_quota = OverQuotaLease(requested, excess_units, lease.credits, lease.usage.is_frequent)
+            over_quota = OverQuotaLeaseRequest(
+                requested, excess_units, lease.credits, lease.usage.is_frequent
+            )
             grant = lease.quota.partial_grant(over_quota)
         self.return_units(lease, requested - grant.units)
         lease.add_grant(grant, now, all_granted=all_granted)
--- a/gateway/policy/counter_ledger.py
+++ b/gateway/policy/counter_ledger.py
@@ -13,7 +13,7 @@
     from gateway.policy.lease_request import LeaseRequest
     from gateway.policy.quota import Quota
 
-MIN_LOST_UNITS = 0.01  # a total counts as lost only if it is too low by more than this, which may be rounding
+MIN_LOST_UNITS = 0.01  # units; a total that is low by less than this may only have been rounded
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
         quota: The quota.
         window_index: Index of the current window; -1 before the first one.
         estimated_total: The last total that the counter reported, plus this gateway's calls in flight.
-        confirmed_units: Least total to expect, as this gateway's successful calls added that much.
+        confirmed_units: Least total to expect: the units that this gateway's successful calls have added.
         unreported_units: Units that this gateway has yet to add to the total; below 0, units to subtract.
         synchronized: Whether the counter has reported a total in this window.
         synchronized_at: Unix time of the last reported total, in seconds.
@@ -141,18 +141,18 @@
 
     @abstractmethod
     def _deduplicate_carry_over(self, update: TotalUpdate) -> None:
-        """Keep units from being counted twice that several gateways carry over into the same window."""
+        """Prevent double counting of units that several gateways carry over into the same window."""
 
     @abstractmethod
     def correct_total(self, request: LeaseRequest, update: TotalUpdate) -> float:
-        """Check the total after a lease request; return the units that correct it, or 0 if it may stay.
+        """Check the total after a lease request; return the units that a call should add now to correct it.
 
-        The units are also recorded as unreported: a caller that makes no call now leaves them to a later one.
+        The units are recorded as unreported, so a later call adds them if the caller makes no call now.
         """
 
     @abstractmethod
     def may_report_units(self) -> bool:
-        """Return whether a call may add the unreported units now; if not, a total is needed first."""
+        """Return whether a call may add the unreported units now; if not, a total must be known first."""
 
     @abstractmethod
     def overdue_units(self) -> float:
@@ -176,11 +176,11 @@
 
     @abstractmethod
     def is_half_available(self, now: float) -> bool:
-        """Return whether half the quota is available, by a total too recent for the quota to be used up."""
+        """Return whether at least half the quota is available, by a recent total."""
 
     @abstractmethod
     def is_grant_ratio_current(self, now: float) -> bool:
-        """Return whether the lease's past grants still tell how much of the quota is left."""
+        """Return whether the lease's past grants still indicate how much of the quota is left."""
 
     @abstractmethod
     def denial(self, needed_units: float, credits_left: float, spendable: float, now: float) -> Denial:
@@ -188,7 +188,7 @@
 
         Args:
             needed_units: Units that the next request needs.
-            credits_left: Credits of the lease, those included that cannot be spent yet.
+            credits_left: Credits of the lease, including those that cannot be spent yet.
             spendable: Credits that can be spent now.
             now: Unix time, in seconds.
         """
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -16,7 +16,7 @@
 MIN_CALLS_PER_SECOND = 60.0  # all gateways together; enough to notice when a failed counter recovers
 GROWTH_PER_SECOND = 0.25  # relative growth of the rate with fast replies, while the limit is reached
 BACKOFF_FACTOR = 0.88  # on the rate, when a call fails or takes half its timeout or longer
-BURST_SECONDS = 0.1  # unused calls accumulate for this time
+BURST_SECONDS = 0.1  # unused calls accumulate up to the calls of this time, plus two
 FAILURE_WEIGHT = 0.1  # weight of the newest call in the failure ratio
 UNAVAILABLE_RATIO = 0.5  # failure ratio above which the counter counts as unavailable
 
@@ -77,7 +77,7 @@
         self._last_fast_reply_at = now
 
     def _decrease_rate(self) -> None:
-        """Back off once for calls in flight together; twice as far while the counter is unavailable."""
+        """Back off once for calls in flight together; by the factor squared if the counter is unavailable."""
         now = self.context.now
         if now - self._last_decrease_at <= 2 * self.timeout:
             return
--- a/gateway/policy/grant_history.py
+++ b/gateway/policy/grant_history.py
@@ -18,7 +18,7 @@
 
     Attributes:
         ratio: Moving average of the fraction of requests granted in full, from 0 to 1.
-        consecutive_denials: Denials since the last request that was granted in full, up to a limit.
+        consecutive_denials: Contended denials since the last request granted in full, up to a limit.
         denied_until: Unix time until which client requests are rejected, in seconds.
         retry_at: Earliest Unix time of the next call after the counter rejected one, in seconds.
     """
@@ -39,11 +39,11 @@
         self.consecutive_denials = min(self.consecutive_denials + 1, limit)
 
     def deny_until(self, time: float) -> None:
-        """Have client requests rejected until a Unix time in seconds."""
+        """Record that client requests are rejected until a Unix time in seconds."""
         self.denied_until = time
 
     def clear_denial(self) -> None:
-        """Have no more client requests rejected."""
+        """Record that client requests are no longer rejected."""
         self.denied_until = 0.0
 
     def postpone_call(self, time: float) -> None:
--- a/gateway/policy/lease.py
+++ b/gateway/policy/lease.py
@@ -30,7 +30,7 @@
         sizer: Learns the batch size: the units to request in one call.
         clock: The refill time that the lease is in.
         request: The last counter call that requested units for this lease.
-        grants: The grants and denials of these calls.
+        grants: The grants and denials of the lease's requests for units.
         usage: The lease's use by client requests.
         local_tokens: Tokens of the local quota, which admits requests without the counter.
         waiters: Client requests that wait for credits, oldest first.
@@ -105,7 +105,7 @@
         self.credits += refunded_units
 
     def add_grant(self, grant: Grant, now: float, *, all_granted: bool) -> None:
-        """Add the granted units to the credits."""
+        """Record the reply to a request for units, and add the granted units to the credits."""
         if not all_granted:
             self.accruing_credits = grant.accruing_units
             self.accruing_since = now
@@ -121,8 +121,8 @@
     def handle_failed_call(self, amount: float, outcome: Outcome, *, is_adjustment: bool) -> None:
         """Account for a failed call.
 
-        A call that added nothing is undone.  A lease request that timed out has probably been added; a return
-        that timed out is repeated.
+        A call that never ran is undone.  So is a call that subtracts units, so that a later call repeats it.
+        Any other call has probably added its units to the total.
         """
         request = self.request
         if amount <= 0 or outcome.never_ran:
--- a/gateway/policy/lease_request.py
+++ b/gateway/policy/lease_request.py
@@ -13,8 +13,8 @@
         in_flight: Whether the call has no reply yet.
         requested_units: Units that the call requests; 0 if it reports a carry-over.
         overflow_units: Units that accrued while the quota was full, which the call adds to the total too.
-        units_before_sync: For a carry-over call, the units that the call before it requested.  The reply to
-            that call brought the first total of the window.
+        units_before_sync: For a call that reports a carry-over, the units that the call before it requested,
+            whose reply contained the first total of the window; otherwise 0.
     """
 
     in_flight: bool = False
--- a/gateway/policy/lease_sizing.py
+++ b/gateway/policy/lease_sizing.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 LEARNING_RATE = 0.5  # AdaGrad step on ln(batch size)
-MIN_STRANDING_COST = 0.5  # in counter calls; above 0, as an unused unit always costs other gateways something
+# As a fraction of the call price; above 0, as an unused unit always costs other gateways something.
+MIN_STRANDING_COST = 0.5
 MIN_CALL_PRICE = 1e-3  # keeps the gradient finite where calls cost nothing
 
 
--- a/gateway/policy/lease_table.py
+++ b/gateway/policy/lease_table.py
@@ -63,7 +63,7 @@
                 self.calls.return_slots(lease, lease.quota.slots_per_request)
 
     def drop_expired_credit(self, ticket: AdmissionTicket) -> bool:
-        """Drop a request's credits of one lease if their refill time has ended; return whether it had."""
+        """Drop a request's credits of one lease if their refill time has ended; return whether it has."""
         for lease in ticket.leases:
             lease.roll_window(self.context.now)
             if lease.quota.has_credit_expired(ticket.acquired_credits[lease], lease.clock.refill_index):
@@ -73,7 +73,7 @@
         return False
 
     def reclaim_idle_credits(self) -> None:
-        """Report slots, return idle credits of customers near their limit, and evict unused leases."""
+        """Report overdue units, return idle credits of scarce quotas, and evict unused leases."""
         for key, lease in list(self.reclaimable.items()):
             lease.roll_window(self.context.now)
             if lease.request.in_flight or not self.calls.rate_limiter.may_call():
@@ -85,7 +85,11 @@
         self._evict_unused_leases()
 
     def _reclaim(self, lease: Lease) -> bool:
-        """Return idle credits if other gateways may need them; return whether none are left to return."""
+        """Subtract idle credits from the total if other gateways may need them.
+
+        Returns:
+            Whether the lease has no more credits that must be subtracted.
+        """
         now = self.context.now
         if not lease.quota.are_credits_idle(now - lease.usage.last_used_at):
             return lease.credits <= EPSILON
@@ -103,5 +107,5 @@
                 break
             del self.by_key[key]
             if lease.usage.active_requests:  # keep it, as the most recently used
-                lease.usage.postpone_expiry(now)
+                lease.usage.postpone_eviction(now)
                 self.by_key[key] = lease
--- a/gateway/policy/lease_usage.py
+++ b/gateway/policy/lease_usage.py
@@ -39,6 +39,6 @@
         """Reset the count of spent units when a new refill time begins."""
         self.served_units = 0.0
 
-    def postpone_expiry(self, now: float) -> None:
+    def postpone_eviction(self, now: float) -> None:
         """Treat the lease as used now, because a request still holds credits of it."""
         self.last_used_at = now
--- a/gateway/policy/local_admission.py
+++ b/gateway/policy/local_admission.py
@@ -11,7 +11,7 @@
     from gateway.policy.counter_rate_limiter import CounterRateLimiter
     from gateway.policy.lease import Lease
 
-MAX_ENDPOINT_UTILIZATION = 0.8  # above this, only requests with credits from the counter are admitted
+MAX_ENDPOINT_UTILIZATION = 0.8  # above this, local tokens are used only without a counter
 
 
 class LocalAdmission:
@@ -32,8 +32,8 @@
         grant ratio of the plan's leases.  A retry gets no token, as the request was just rejected.
         """
         fraction = self.local_quota_fraction(lease, plan_grant_ratio)
-        is_admitted = self.context.random.random() < fraction * lease.quota.limit and not is_retry
-        lease.local_tokens.reset(1.0 if is_admitted else 0.0, self.context.now)
+        has_token = self.context.random.random() < fraction * lease.quota.limit and not is_retry
+        lease.local_tokens.reset(1.0 if has_token else 0.0, self.context.now)
 
     def local_quota_fraction(self, lease: Lease, plan_grant_ratio: float = 0.0) -> float:
         """Return the fraction of a quota that this gateway may admit by itself, from 1/gateways to 1.
@@ -79,7 +79,7 @@
         return self._refill(lease) + EPSILON >= units
 
     def should_skip_counter_call(self, lease: Lease, units: float) -> bool:
-        """Return whether to admit by local tokens, to leave scarce calls to quotas that are less full."""
+        """Return whether to admit by local tokens, to leave scarce calls to quotas with fewer units left."""
         if not lease.ledger.is_half_available(self.context.now) or self.rate_limiter.has_headroom():
             return False
         return self.has_tokens(lease, units)
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -32,13 +32,13 @@
 
 
 @dataclass(slots=True)
-class OverQuotaLease:
-    """A lease of more units than the quota has left.
+class OverQuotaLeaseRequest:
+    """A lease request for more units than the quota has left.
 
     Attributes:
         requested_units: Units that were requested.
         excess_units: Units by which the total, with the requested units, exceeds the quota.
-        credits: Credits that the lease had before.
+        credits: Credits of the lease, without the requested units.
         is_frequent: Whether the customer's last two requests arrived within one refill time.
     """
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Grant:
-    """The units that are granted of a requested lease; the gateway returns the others.
+    """The units that a lease request is granted; the gateway returns the others to the counter.
 
     Attributes:
         units: Units that are granted.
@@ -72,7 +72,7 @@
         limit: Largest batch size of a lease; for a concurrency quota, the number of slots.
         burst: Units of the full quota.
         window_length: Length of a window in seconds; the counter has one total for each window.
-        refill_time: Seconds in which `limit` units accrue.
+        refill_time: Seconds in which `limit` units accrue; for a concurrency quota, the window length.
         phase: Offset in seconds by which windows begin earlier; it varies by customer to spread the calls.
     """
 
@@ -97,7 +97,7 @@
         return math.floor((now + self.phase) / self.refill_time)
 
     def next_boundary(self, window_index: int, refill_index: int) -> float:
-        """Return the Unix time, up to rounding, at which the first of window and refill time ends."""
+        """Return the Unix time, up to rounding, at which the window or the refill time ends first."""
         window_end = (window_index + 1) * self.window_length
         refill_end = (refill_index + 1) * self.refill_time
         return min(window_end, refill_end) - self.phase
@@ -115,8 +115,8 @@
         """Return the units per second that become available, given the endpoints' mean latency in seconds."""
 
     @abstractmethod
-    def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
-        """Return the units to grant of a lease that exceeds the quota."""
+    def partial_grant(self, over_quota: OverQuotaLeaseRequest) -> Grant:
+        """Return the units to grant to a lease request that exceeds the quota."""
 
     @abstractmethod
     def has_credit_expired(self, acquired_in: int, refill_index: int) -> bool:
@@ -150,7 +150,7 @@
         """Return the plan's rate."""
         return self.plan.rate
 
-    def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
+    def partial_grant(self, over_quota: OverQuotaLeaseRequest) -> Grant:
         """Grant whole units, rounded up: the missing fraction of the last unit accrues soon."""
         requested = over_quota.requested_units
         excess_units = over_quota.excess_units
@@ -194,8 +194,8 @@
         """Return the slots per second that become free while all are in use."""
         return self.limit / mean_latency
 
-    def partial_grant(self, over_quota: OverQuotaLease) -> Grant:
-        """Grant whole slots, counted together with the credits that the lease has."""
+    def partial_grant(self, over_quota: OverQuotaLeaseRequest) -> Grant:
+        """Grant units that bring the lease's credits to a whole number of slots."""
         covered_units = max(0.0, over_quota.requested_units - over_quota.excess_units)
         slots = math.floor(covered_units + over_quota.credits + EPSILON)
         return Grant(slots - over_quota.credits)
--- a/gateway/policy/quota_factory.py
+++ b/gateway/policy/quota_factory.py
@@ -47,8 +47,8 @@
 def max_lease_units(plan: Plan) -> float:
     """Return the most units of one lease of a rate quota: a burst, in whole units.
 
-    For a plan with a ceiling it is at most a quarter of the ceiling's burst, which has to hold two leases of
-    that size and as many units again that are admitted by the local quota.
+    For a plan with a ceiling it is at most a quarter of the ceiling's burst, so that two leases of that
+    size and as many units again that the local quota admits stay within that burst.
     """
     max_units = plan.burst
     if plan.ceiling_rate:
--- a/gateway/policy/rate_ledger.py
+++ b/gateway/policy/rate_ledger.py
@@ -21,9 +21,9 @@
     compute the same level.  If a gateway adds units in error and stops, another one corrects the total.
 
     Attributes:
-        carried_deficit: Units that the quota was short of a full burst when the window began; 0 once the
+        carried_deficit: Units by which the level was below a burst when the window began; 0 once the
             first total has shown whether this gateway or another one adds them.
-        expired_credits: Credits of this gateway that expired when the window began; 0 from the same time on.
+        expired_credits: Credits of this gateway that expired when the window began; 0 after the first total.
     """
 
     carried_deficit: float = 0.0
@@ -53,9 +53,9 @@
         self._start_window(window_index, self.carried_deficit)
 
     def record_lost_reply(self, request: LeaseRequest) -> None:
-        """Have a later call subtract the requested units: the waiters do not wait for them any longer."""
+        """Record that a later call must subtract the requested units: no waiter waits for them any longer."""
         self.unreported_units -= request.requested_units
-        if self.synchronized:  # before that, calls do not include the carried deficit
+        if self.synchronized:  # before the first total, calls do not include the carried deficit
             self._clear_carry_over()
 
     def _clear_carry_over(self) -> None:
@@ -63,13 +63,13 @@
         self.expired_credits = 0.0
 
     def _units_to_restore(self, update: TotalUpdate) -> float:
-        """Return the units of all gateways that the counter lost, by the last total that this one saw."""
+        """Return the units of all gateways that the counter lost, by the last total that this gateway saw."""
         return self.estimated_total - update.in_flight_units - update.total
 
     def _deduplicate_carry_over(self, update: TotalUpdate) -> None:
         """Drop this gateway's carried deficit if another gateway has already added its own.
 
-        That other deficit counts this gateway's unspent credits as used, so they are subtracted.
+        The other gateway's deficit counts this gateway's unspent credits as used, so they are subtracted.
         """
         others_added_before = update.total > update.amount + EPSILON
         if others_added_before:
@@ -87,7 +87,7 @@
         level_before = self.level(now) + requested + request.units_before_sync + request.overflow_units
         if level_before < -burst - 2 * self.quota.gateway_set_size:
             # The total has units that a gateway added in error before it stopped, or units that were admitted
-            # locally over a long time.  Subtracting them raises the level to 0.
+            # locally over a long time.  Subtracting them raises the level before this request to 0.
             self.unreported_units += level_before
         if update.is_first_in_window:  # the overflow is known only now; `report_carry_over` adds it
             request.set_overflow(max(0.0, self.level(now) + requested - burst))
