--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -40,7 +40,9 @@
     assert 0 < rejection.retry_after <= 1.0
 
 
-def test_backoff_after_consecutive_denials_grows_with_the_number_of_gateways(counter: FakeCounter) -> None:
+# Guards against each of many gateways requesting each unit that accrues, which the backoff after consecutive
+# denials prevents.
+def test_many_gateways_of_a_denied_customer_make_few_counter_calls(counter: FakeCounter) -> None:
     fleet = make_fleet(40, peers_total="40")
     admitted = 0
     now = START
@@ -54,7 +56,9 @@
     assert counter.calls - calls < 3 * 4 * 20  # in 20 s: about 1.5 calls per unit, at most 3
 
 
-def test_a_request_waits_for_a_counter_call_and_is_then_admitted_by_the_local_quota(
+# Requests wait while the rate limiter allows no counter call.  Request 1 is admitted once a call is allowed.
+# For request 2 none is allowed, so the local quota decides on it after the longest wait.
+def test_a_request_waits_for_a_counter_call_no_longer_than_the_longest_wait(
     policy: Policy, counter: FakeCounter
 ) -> None:
     limiter = policy.counter_rate_limiter
@@ -86,7 +90,10 @@
 
 
 def start_waiting(policy: Policy, counter: FakeCounter, waits_for: str) -> list[Action]:
-    """Start request 2, which has to wait; return the actions, of which counter calls may be unanswered."""
+    """Start request 2, which has to wait; return the actions.
+
+    If it waits for a lease, its counter call is among them and unanswered.
+    """
     now = START + 0.1
     if waits_for == "capacity":
         policy.concurrency_limiter.concurrency_limit = 1e-9
@@ -97,7 +104,7 @@
 
 
 # Guards against leasing units or starting attempts for a client that disconnected while its request waited
-# for a counter call, for a lease or for capacity; whatever events come in the next 0.3 s.
+# for a counter call, for a lease or for capacity: the events that follow must not do so.
 @pytest.mark.parametrize("waits_for", ["call", "lease", "capacity"])
 def test_no_lease_or_attempt_follows_for_a_disconnected_client(
     waits_for: str, policy: Policy, counter: FakeCounter
@@ -123,8 +130,8 @@
     assert counter.calls == calls
 
 
-def test_rejections_have_a_retry_after_even_if_clients_are_set_to_ignore_it(counter: FakeCounter) -> None:
-    """Each rejection has a Retry-After, even if the settings say that most clients ignore it."""
+def test_rejections_have_a_retry_after_even_if_most_clients_ignore_it(counter: FakeCounter) -> None:
+    """The setting `caps.retry_after`, whether clients usually obey a Retry-After, makes no difference."""
     policy = make_policy(caps__retry_after="false", caps__max_retry_after_s="1.5")
     actions = [
         action
--- a/tests/policy/test_counter_calls.py
+++ b/tests/policy/test_counter_calls.py
@@ -42,7 +42,7 @@
     assert only_lease(policy).credits + 1 == round(8.0 / 3)
 
 
-def test_the_first_lease_of_a_customer_that_others_know_takes_one_call(counter: FakeCounter) -> None:
+def test_the_first_lease_takes_one_call_if_another_gateway_has_leased(counter: FakeCounter) -> None:
     fleet = [make_policy(me=str(index), peers_total="20") for index in range(20)]
     for index, gateway in enumerate(fleet[:8]):
         calls = counter.calls
--- a/tests/policy/test_counter_ledger.py
+++ b/tests/policy/test_counter_ledger.py
@@ -87,19 +87,19 @@
     assert quota_level(other_policy) + unspent + admitted_after == pytest.approx(leased + 0.02 * 4)
 
 
-class LateCounter(FakeCounter):
-    """A counter that adds the amounts of some calls, numbered from 1, but whose replies to them time out."""
+class LossyCounter(FakeCounter):
+    """A counter that runs all calls, but whose replies to some of them, numbered from 1, are lost."""
 
-    def __init__(self, late_calls: set[int]) -> None:
+    def __init__(self, lost_replies: set[int]) -> None:
         super().__init__()
-        self.late_calls = late_calls
+        self.lost_replies = lost_replies
 
     def serve(self, policy: Policy, now: float, request_id: int) -> bool:
         """Handle a request and finish its attempt at once; return whether an attempt was started."""
         actions = policy.handle(now, make_request(request_id))
         for action in actions:
             if isinstance(action, AddToCounter):
-                self.drops_replies = self.calls + 1 in self.late_calls
+                self.drops_replies = self.calls + 1 in self.lost_replies
                 actions += policy.handle(now, self.answer(action))
             elif isinstance(action, StartAttempt):
                 actions += policy.handle(now, make_finished(request_id, action, Outcome.OK, closed=True))
@@ -108,7 +108,7 @@
 
 # Guards against lost replies that leave units in the total, which the customer lacks until the window ends.
 @pytest.mark.parametrize(
-    "late_calls",
+    "lost_replies",
     [
         pytest.param({2}, id="one"),
         pytest.param({2, 3}, id="two"),
@@ -116,10 +116,11 @@
         pytest.param(set(range(2, 30, 3)), id="each-third"),
     ],
 )
-def test_a_customer_gets_its_quota_despite_lost_counter_replies(late_calls: set[int]) -> None:
-    counter = LateCounter(late_calls)
+def test_a_customer_gets_its_quota_despite_lost_counter_replies(lost_replies: set[int]) -> None:
+    counter = LossyCounter(lost_replies)
     pair = make_fleet(2)
-    # START is within a window, with more than 40 units of overflow: 4 s at twice the quota.
+    # START is within a window in which more than 40 units have overflowed.  The requests last 4 s, at twice
+    # the quota's rate.
     admitted = sum(
         counter.serve(pair[request_id % 2], START + request_id / 8, request_id) for request_id in range(32)
     )
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -42,8 +42,8 @@
 def test_admitted_requests_fit_rate_and_burst(arrivals: list[Arrival], log_sizes: list[float]) -> None:
     """For any arrivals and batch sizes, admitted requests exceed rate and burst only by units leased ahead.
 
-    These are at most a burst.  With several gateways it is a burst more: a gateway that first sees a customer
-    does not know when the units in the total were leased.
+    At one gateway, at most a burst is leased ahead.  At several gateways, it is at most two bursts: a gateway
+    that first sees a customer cannot tell when the units in the total were leased.
     """
     for count, min_level in ((1, -8.0), (3, -16.0)):
         counter = FakeCounter()
@@ -81,7 +81,7 @@
 ) -> None:
     """A customer that sends four times its quota gets nearly all of the quota and hardly more.
 
-    The number of gateways makes no difference, nor how long ago each of them last saw the customer.
+    Neither the number of gateways nor the time since each of them last saw the customer makes a difference.
     """
     gateways = make_fleet(gateway_count, peers_total=str(gateway_count))
     generator = random.Random(3)
