--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -70,7 +70,7 @@
         self.deferred_leases: dict[LeaseKey, Lease] = {}
 
     def lease_for(self, request: Request, kind: QuotaKind) -> Lease:
-        """Return the lease of one of the quotas that apply to a request, in its current window."""
+        """Return a request's lease of one kind of quota; give a new lease its first local tokens."""
         lease = self.leases.get_or_create(request, kind)
         if not lease.local_tokens.updated_at:
             grant_ratio = self.calls.grant_ratio(lease.quota.plan)
@@ -205,6 +205,7 @@
         self.deferred_leases[lease.quota.key] = lease
 
     def _serve_waiters(self, lease: Lease, *, denied: bool) -> None:
+        """Spend the credits on waiters, oldest first; reject the others if denied, else request more."""
         served = []
         while lease.waiters:
             pending = lease.waiters[0]
--- a/gateway/policy/counter_rate_limiter.py
+++ b/gateway/policy/counter_rate_limiter.py
@@ -15,7 +15,7 @@
 INITIAL_CALLS_PER_SECOND = 800.0  # all gateways together
 MIN_CALLS_PER_SECOND = 60.0  # all gateways together; enough to notice when a failed counter recovers
 GROWTH_PER_SECOND = 0.25  # relative growth of the rate with fast replies, while the limit is reached
-BACKOFF_FACTOR = 0.88  # on the rate, when a call fails or takes half its timeout or longer
+BACKOFF_FACTOR = 0.88  # on the rate, when a call is rejected or takes half its timeout, or most calls fail
 BURST_SECONDS = 0.1  # unused calls accumulate up to the calls of this time, plus two
 FAILURE_WEIGHT = 0.1  # weight of the newest call in the failure ratio
 UNAVAILABLE_RATIO = 0.5  # failure ratio above which the counter counts as unavailable
--- a/gateway/policy/rate_ledger.py
+++ b/gateway/policy/rate_ledger.py
@@ -94,7 +94,7 @@
             return 0.0
         duplicate_overflow = request.overflow_units - max(0.0, level_before - burst)  # added by others too
         if not requested and duplicate_overflow < request.overflow_units / 2:
-            return 0.0  # no other gateway added it: the level is lower because units were leased
+            return 0.0  # no other gateway added the overflow: the level is lower because units were leased
         self.unreported_units -= duplicate_overflow
         return self.unreported_units
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -104,7 +104,7 @@
 
 
 # Guards against leasing units or starting attempts for a client that disconnected while its request waited
-# for a counter call, for a lease or for capacity: the events that follow must not do so.
+# for a counter call, for a lease or for capacity: no later event may lead to either.
 @pytest.mark.parametrize("waits_for", ["call", "lease", "capacity"])
 def test_no_lease_or_attempt_follows_for_a_disconnected_client(
     waits_for: str, policy: Policy, counter: FakeCounter
--- a/tests/policy/test_lease.py
+++ b/tests/policy/test_lease.py
@@ -64,6 +64,7 @@
     assert only_lease(other_policy).credits == 0.0
 
 
+# Guards against exceeding the ceiling when queued requests are dispatched with credits of an earlier window.
 def test_the_credits_of_a_queued_request_under_a_ceiling_expire_with_the_window(
     policy: Policy, counter: FakeCounter
 ) -> None:
