--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -79,11 +79,11 @@
             return False
         total_limit = self.concurrency_limit * len(self.endpoints.ready)
         limit = total_limit + HEADROOM_DEVIATIONS * math.sqrt(total_limit)
-        return self.endpoints.in_flight - self._count_hung_attempts() < limit
+        return self.endpoints.attempts_in_flight - self._count_hung_attempts() < limit
 
     def _count_hung_attempts(self) -> int:
         started_before = self.context.now - OUTLIER_FACTOR * self.mean_latency
-        hung = takewhile(started_before.__gt__, self.endpoints.started_at.values())  # oldest first
+        hung = takewhile(started_before.__gt__, self.endpoints.attempt_start_times.values())  # oldest first
         return len(list(hung))
 
     def record_outcome(self, *, late: bool, typical: bool) -> None:
@@ -105,7 +105,8 @@
         attempt at each endpoint.
         """
         ready_count = len(self.endpoints.ready)
-        if self.endpoints.in_flight + BINDING_MARGIN_ATTEMPTS >= self.concurrency_limit * ready_count:
+        total_limit = self.concurrency_limit * ready_count
+        if self.endpoints.attempts_in_flight + BINDING_MARGIN_ATTEMPTS >= total_limit:
             step = 1 / (self.concurrency_limit * max(1, ready_count))
             self.concurrency_limit += step / self.context.gateway_count
 
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -15,7 +15,7 @@
 from gateway.policy.subsetting import choose_subset
 
 SUBSET_LIFETIME_SECONDS = DECAY_SECONDS / 4  # of a subset with endpoints that are warming up
-RING_ORDER = attrgetter("ring_position")
+RING_ORDER = attrgetter("ring_hash")
 
 AttemptKey = tuple[int, int]  # request id, attempt number
 
@@ -26,7 +26,7 @@
 
     Attributes:
         record: The endpoint's newest record in the endpoint list.
-        ring_position: Hash of the endpoint's id; it orders the endpoints alike at every gateway.
+        ring_hash: Hash of the endpoint's id; it orders the endpoints alike at every gateway.
         state: The endpoint's state in the endpoint list.
         in_flight: Unix time in seconds at which each attempt in flight started, oldest first.
         outlier_detector: Tracks whether the endpoint is slow, failing or unresponsive.
@@ -35,7 +35,7 @@
     """
 
     record: EndpointRecord
-    ring_position: int
+    ring_hash: int
     state: EndpointState = EndpointState.GONE
     in_flight: dict[AttemptKey, float] = field(default_factory=dict)
     outlier_detector: OutlierDetector = field(default_factory=OutlierDetector)
@@ -93,8 +93,8 @@
         self.subset: list[Endpoint] = []  # the ready endpoints that this gateway prefers, in ring order
         self.subset_ids: frozenset[int] = frozenset()
         self.subset_expires_at = math.inf
-        self.in_flight = 0  # attempts in flight at ready endpoints
-        self.started_at: dict[AttemptKey, float] = {}  # start of each attempt in flight, oldest first
+        self.attempts_in_flight = 0  # at ready endpoints
+        self.attempt_start_times: dict[AttemptKey, float] = {}  # of all attempts in flight, oldest first
 
     def apply_update(self, update: EndpointUpdate, initial_latency: float) -> None:
         """Apply an update of the endpoint list.
@@ -151,12 +151,12 @@
         was_ready = endpoint.is_ready
         endpoint.update_state(state)
         if endpoint.is_ready and not was_ready:
-            self.in_flight += len(endpoint.in_flight)
+            self.attempts_in_flight += len(endpoint.in_flight)
         elif was_ready and not endpoint.is_ready:
-            self.in_flight -= len(endpoint.in_flight)
+            self.attempts_in_flight -= len(endpoint.in_flight)
 
     def _remove_from_ready(self, endpoint: Endpoint) -> None:
-        index = bisect.bisect_left(self.ready, endpoint.ring_position, key=RING_ORDER)
+        index = bisect.bisect_left(self.ready, endpoint.ring_hash, key=RING_ORDER)
         if index < len(self.ready) and self.ready[index] is endpoint:
             del self.ready[index]
 
@@ -183,13 +183,13 @@
         """Record the start of an attempt at a ready endpoint."""
         now = self.context.now
         endpoint.start_attempt(key, now)
-        self.started_at[key] = now
-        self.in_flight += 1
+        self.attempt_start_times[key] = now
+        self.attempts_in_flight += 1
         return Attempt(endpoint, now)
 
     def finish_attempt(self, endpoint_id: int, key: AttemptKey) -> Attempt | None:
         """Record the end of an attempt and return it, or None if it is not in flight at this endpoint."""
-        self.started_at.pop(key, None)
+        self.attempt_start_times.pop(key, None)
         endpoint = self.by_id.get(endpoint_id)
         if endpoint is None:
             return None
@@ -197,6 +197,6 @@
         if started_at is None:
             return None
         if endpoint.is_ready:
-            self.in_flight -= 1
+            self.attempts_in_flight -= 1
         self._remove_if_gone(endpoint)
         return Attempt(endpoint, started_at)
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -58,7 +58,7 @@
             self.possibly_executed.append(attempt)
         return attempt
 
-    def first_effective_attempt(self) -> Attempt | None:
+    def first_possibly_executed_attempt(self) -> Attempt | None:
         """Return the earliest attempt, in flight or finished, that may have an effect; None without one."""
         attempts = [*self.in_flight.values(), *self.possibly_executed]
         return min(attempts, key=attrgetter("started_at"), default=None)
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -67,7 +67,7 @@
         request_class = pending.request_class
         if request_class.effect is Effect.IDEMPOTENT:
             return ready
-        first = pending.first_effective_attempt()
+        first = pending.first_possibly_executed_attempt()
         if first is None:
             return ready
         if request_class.effect is Effect.NON_IDEMPOTENT or self._is_key_forgotten(pending, first):
--- a/gateway/policy/tick_timer.py
+++ b/gateway/policy/tick_timer.py
@@ -9,7 +9,7 @@
 
 SLOW_TICK_FACTOR = 2  # ticks per slow tick
 SLOW_TICK_SECONDS = SLOW_TICK_FACTOR * TICK_SECONDS  # period of the timer while no request waits
-MIN_DELAY_SECONDS = EPSILON  # a driver may round a timer's time down, so that it fires this much early
+TIMER_TOLERANCE_SECONDS = EPSILON  # a driver may round a timer's time down, so that it fires this much early
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
             waiting: Whether a request waits, so that the timer is due after one tick, not a slow tick.
         """
         due = now + (TICK_SECONDS if waiting else SLOW_TICK_SECONDS)
-        if now + MIN_DELAY_SECONDS < self.due <= due:
+        if now + TIMER_TOLERANCE_SECONDS < self.due <= due:
             return None
         self.due = due
         return due
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -58,7 +58,7 @@
             del self.by_id[endpoint.record.endpoint_id]
         ready = [endpoint for endpoint in self.by_id.values() if endpoint.is_ready]
         self.ready = sorted(ready, key=RING_ORDER)
-        self.in_flight = sum(len(endpoint.in_flight) for endpoint in ready)
+        self.attempts_in_flight = sum(len(endpoint.in_flight) for endpoint in ready)
         self.update_subset()
 
     def _apply(self, record: EndpointRecord, initial_latency: float) -> None:
@@ -93,7 +93,7 @@
     }
     ready = [endpoint.record for endpoint in table.ready]
     subset = [endpoint.record for endpoint in table.subset]
-    return ready, subset, table.in_flight, states
+    return ready, subset, table.attempts_in_flight, states
 
 
 class TwinPolicies:
--- a/tests/policy/test_tick_timer.py
+++ b/tests/policy/test_tick_timer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gateway.policy.context import TICK_SECONDS
-from gateway.policy.tick_timer import MIN_DELAY_SECONDS, SLOW_TICK_SECONDS, TickTimer
+from gateway.policy.tick_timer import SLOW_TICK_SECONDS, TIMER_TOLERANCE_SECONDS, TickTimer
 from tests.support.policy import START
 
 
@@ -28,5 +28,5 @@
     timer = TickTimer()
     due = timer.schedule(START, waiting=True)
     assert due is not None
-    now = due - MIN_DELAY_SECONDS / 2
+    now = due - TIMER_TOLERANCE_SECONDS / 2
     assert timer.schedule(now, waiting=True) == now + TICK_SECONDS
