--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -19,25 +19,25 @@
 HEADROOM_DEVIATIONS = 0.7  # standard deviations above the total limit, as a gateway's load varies
 BACKOFF_FACTOR = 0.85  # multiplies the limit when too many responses are late
 BINDING_MARGIN_ATTEMPTS = 2  # the limit counts as binding, and may rise, this many attempts below it
-MAX_LATE_RATIO = 0.3  # the limit is lowered from here; one slow endpoint or costly request stays below
+MAX_LATE_RATIO = 0.3  # lowers the limit if reached; one slow endpoint or costly request does not reach it
 MEAN_LATENCY_WEIGHT = LATENCY_WEIGHT / 4  # of the newest response in an average over all endpoints
 LATE_WEIGHT = LATENCY_WEIGHT / 2  # of the newest outcome in the late ratio
 INITIAL_LOAD = 1.0  # assumed for an endpoint that has responded, until load reports arrive
 
 
 class ConcurrencyLimiter:
-    """Adapts one concurrency limit for all endpoints, and keeps the moving averages of latency and load.
+    """Adapts one concurrency limit for all endpoints, and computes the moving averages of latency and load.
 
     Attributes:
         concurrency_limit: Attempts that this gateway may have in flight at an average endpoint.
-        latency_target: Latency in seconds that load shedding aims at.
+        latency_target: Expected latency in seconds above which attempts are shed.
         lateness: Moving average with the sample 1 for an outcome that was late or a failure, else 0.
         lowered_at: Unix time at which the limit was last lowered, in seconds.
         latency: Moving average of the latency of responses, in seconds.
         class_latency: The latency average of each class, by class index, as the work differs by class.
         reported_load: Moving average of the load in load reports.
-        recent_latency: Latency of recent responses in seconds; it adapts faster than `latency`.
-        recent_load: Load of the endpoints that sent these recent responses.
+        recent_latency: Like `latency`, in seconds, but with a higher weight of the newest response.
+        recent_load: Moving average of the responding endpoints' `estimated_load`, with the same weight.
     """
 
     def __init__(self, context: Context, endpoints: EndpointTable) -> None:
@@ -101,8 +101,8 @@
     def _raise_limit(self) -> None:
         """Raise the limit if it binds.
 
-        After as many responses as attempts may be in flight, the limits of all gateways add up to one more
-        attempt at each endpoint.
+        Once each gateway has recorded as many responses as it may have attempts in flight, the
+        limits of all gateways together have risen by one attempt per endpoint.
         """
         ready_count = len(self.endpoints.ready)
         total_limit = self.concurrency_limit * ready_count
--- a/gateway/policy/endpoint_scorer.py
+++ b/gateway/policy/endpoint_scorer.py
@@ -77,7 +77,10 @@
         return self.max_in_flight * (self.fast_latency / latency)
 
     def _expected_load(self, endpoint: Endpoint) -> float:
-        """Return an endpoint's load from this gateway's attempts, this one included, and its load report."""
+        """Return an endpoint's load: this gateway's attempts with the new one, and the weighted load report.
+
+        The load of an endpoint that is unresponsive to the request's class is multiplied.
+        """
         reported = 1 + endpoint.load_report.estimate(self.now, self.mean_load)
         load = len(endpoint.in_flight) + 1 + REPORT_WEIGHT * reported
         detector = endpoint.outlier_detector
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -22,13 +22,13 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """An endpoint of the endpoint list, and what this gateway knows about it from its own attempts.
+    """An endpoint of the endpoint list, and this gateway's attempts at it and measurements of it.
 
     Attributes:
         record: The endpoint's newest record in the endpoint list.
         ring_hash: Hash of the endpoint's id; it orders the endpoints alike at every gateway.
-        state: The endpoint's state in the endpoint list.
-        in_flight: Unix time in seconds at which each attempt in flight started, oldest first.
+        state: The state in the newest record, or GONE if a later snapshot does not list the endpoint.
+        in_flight: Unix times in seconds at which the attempts in flight started, by key; oldest first.
         outlier_detector: Tracks whether the endpoint is slow, failing or unresponsive.
         load_report: The load that the endpoint reported last.
         slow_start_budget: The attempts that this gateway may start at the endpoint while it warms up.
--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -1,4 +1,4 @@
-"""The policy of one gateway.  Its types are defined in gateway/policy/{settings,events,actions}.py."""
+"""The policy of one gateway.  Its settings, events and actions are defined in the modules of these names."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     Attributes:
         pending: Requests that are unanswered or have attempts in flight, by request id.
         queue: Admitted requests that wait for an endpoint with capacity.
-        requests_in_flight: Pending requests that have attempts in flight.
+        requests_in_flight: Number of pending requests that have attempts in flight.
         timer: Schedules the policy's timer.
         reclaim_at: Unix time of the next reclaim of idle credits, in seconds.
     """
@@ -148,7 +148,7 @@
         if not self.retries.may_retry(pending):
             self._give_up(pending)
         elif self.concurrency_limiter.late_ratio > MAX_LATE_RATIO:
-            self.queue.add(pending)  # under overload, a retry takes its turn with the queued requests
+            self.queue.add(pending)  # under overload, a retry waits in the queue like other requests
         else:
             self._dispatch(pending)
 
@@ -156,7 +156,7 @@
         """Send an admitted request to the best endpoint, or queue it while none has capacity."""
         if pending.closed:
             return
-        # A credit under a ceiling also expires in the queue; else queued requests could exceed the ceiling.
+        # Under a ceiling, the credits of queued requests expire too; else these could exceed the ceiling.
         credit_may_expire = pending.plan.ceiling_rate != 0 and pending.attempts_started == 0
         if credit_may_expire and self.admission.drop_expired_credit(pending):
             self.admission.admit(pending)
--- a/gateway/policy/load_balancer.py
+++ b/gateway/policy/load_balancer.py
@@ -22,7 +22,7 @@
 FAST_LATENCY_FACTOR = 1.5  # up to this multiple of the mean latency, an endpoint gets its full limit
 EXCLUDED_ATTEMPTS = 2  # a request's next attempt avoids the endpoints of this many attempts before it
 FAILED_LATENCY_FACTOR = 2  # a failed attempt counts with at least this multiple of the mean latency
-PROBE_POOL_SIZE = 8  # load reports that probes keep recent, where reports do not come with responses
+PROBE_POOL_SIZE = 8  # recent load reports that probes maintain, where responses carry none
 PROBE_PERIOD_SECONDS = REPORT_LIFETIME_SECONDS / PROBE_POOL_SIZE
 LOAD_COLUMNS = frozenset({"inflight", "queue", "util"})  # a report without any of them states no load
 
@@ -43,7 +43,10 @@
         self.next_probe_at = 0.0 if probes_are_useful and settings.limits.may_probe else math.inf
 
     def choose(self, pending: PendingRequest, allowed: list[Endpoint]) -> Endpoint | None:
-        """Return the best allowed endpoint, from the subset if possible; None if none has capacity."""
+        """Return the best allowed endpoint, from the subset if possible.
+
+        Returns None if the limiter allows no attempt, or if no allowed endpoint is eligible.
+        """
         if not self.limiter.has_capacity():
             return None
         endpoints = self.endpoints
--- a/gateway/policy/load_report.py
+++ b/gateway/policy/load_report.py
@@ -13,7 +13,8 @@
     """The newest load report of one endpoint.
 
     Attributes:
-        load: Requests in progress at the endpoint, or else its queue length plus its utilization.
+        load: Requests in progress at the endpoint.  Without that column, queue length plus utilization; for
+            an empty report, the mean load plus 1.
         reported_at: Unix time at which the report arrived, in seconds.
     """
 
--- a/gateway/policy/outlier_detector.py
+++ b/gateway/policy/outlier_detector.py
@@ -20,7 +20,7 @@
 # A failed connection raises an endpoint's latency to this multiple of the mean.  For requests of a class
 # to which the endpoint is unresponsive, its load is multiplied by this.
 EJECTION_FACTOR = 8.0
-UNRESPONSIVE_LIFETIME_SECONDS = 2 * DECAY_SECONDS  # time for which the load for that class is multiplied
+UNRESPONSIVE_LIFETIME_SECONDS = 2 * DECAY_SECONDS  # time after which a detection expires
 
 
 def initial_latency_average() -> MovingAverage:
@@ -34,7 +34,7 @@
 
     Attributes:
         latency: Average latency in seconds; a failure counts as a slow response.
-        last_response_at: Unix time of the endpoint's last successful response, in seconds.
+        last_response_at: Unix time of the endpoint's last successful response or last reset, in seconds.
         last_response_by_class: Unix time of its last successful response to each class, by class index.
         last_outcome_at: Unix time at which an attempt at this endpoint last ended, in seconds.
         unresponsive_classes: Unix time in seconds at which the endpoint was last found not to respond to
@@ -94,9 +94,9 @@
         return waiting_time if waiting_time > latency else latency
 
     def detect_unresponsive(self, class_index: int, started_at: float, timeout: float, now: float) -> bool:
-        """Return, and record, whether the endpoint has not responded to a class for longer than the timeout.
+        """Return, and record, whether the endpoint has not responded to a class for at least the timeout.
 
-        Each class is recorded separately: responses to other classes would hide that one gets none.
+        Classes are recorded separately: responses to one class would hide that another class gets none.
 
         Args:
             class_index: Index of the request's class.
--- a/gateway/policy/pending_request.py
+++ b/gateway/policy/pending_request.py
@@ -59,7 +59,7 @@
         return attempt
 
     def first_possibly_executed_attempt(self) -> Attempt | None:
-        """Return the earliest attempt, in flight or finished, that may have an effect; None without one."""
+        """Return the earliest attempt, in flight or finished, that may have an effect, or None."""
         attempts = [*self.in_flight.values(), *self.possibly_executed]
         return min(attempts, key=attrgetter("started_at"), default=None)
 
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -18,7 +18,7 @@
 # Waits for a response, in multiples of the mean latency of the request's class.
 UNRESPONSIVE_LATENCIES = 6.0  # an endpoint is unresponsive if no request of the class gets a response
 LOST_ATTEMPT_LATENCIES = 10.0  # an attempt is lost even if other requests of the class get responses
-BACKOFF_BASE = 2.0  # both waits are multiplied by this for each earlier attempt of the request
+BACKOFF_BASE = 2.0  # multiplies the wait before an attempt is replaced, for each earlier attempt
 BUDGET_PER_REQUEST = 0.1  # replacements of stalled attempts that each first attempt adds to the budget
 INITIAL_BUDGET = 1.0  # replacements of stalled attempts
 MAX_BUDGET = 10.0  # replacements of stalled attempts that may be saved up
@@ -51,7 +51,7 @@
         self.budget = min(MAX_BUDGET, self.budget + BUDGET_PER_REQUEST)
 
     def may_retry(self, pending: PendingRequest) -> bool:
-        """Return whether a request may get another attempt, early enough before its deadline."""
+        """Return whether time, attempts and an allowed endpoint are left for another attempt."""
         # An attempt that times out at the deadline may be reported slightly early, hence the tick of margin.
         latest = pending.deadline - DEADLINE_MARGIN_SECONDS - TICK_SECONDS
         if self.context.now >= latest or not self._has_attempts_left(pending):
@@ -62,7 +62,7 @@
         return pending.attempts_started < self.limits.max_attempts
 
     def allowed_endpoints(self, pending: PendingRequest) -> list[Endpoint]:
-        """Return the endpoints at which the effect of the request's class allows its next attempt."""
+        """Return the ready endpoints at which the class's effect allows the request's next attempt."""
         ready = self.endpoints.ready
         request_class = pending.request_class
         if request_class.effect is Effect.IDEMPOTENT:
@@ -88,7 +88,7 @@
         return self.context.now > latest
 
     def is_rejection_safe(self, pending: PendingRequest) -> bool:
-        """Return whether the client may safely retry, so that a rejection is correct instead of a failure."""
+        """Return whether the client may safely retry; if so, the answer is a rejection, else a failure."""
         if pending.in_flight:
             return False
         effect = pending.request_class.effect
@@ -118,7 +118,8 @@
     def _is_stalled(self, pending: PendingRequest, attempt: Attempt) -> bool:
         """Return whether an attempt has stalled and another one may still meet the latency objective.
 
-        An attempt has stalled if its endpoint is unresponsive, or after a wait that makes it count as lost.
+        An attempt has stalled after a wait that is shorter if its endpoint is unresponsive, and grows with
+        each earlier attempt of the request.
         """
         now = self.context.now
         class_index = pending.request.class_index
--- a/gateway/policy/settings.py
+++ b/gateway/policy/settings.py
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Properties of a deployment's endpoints, and time limits that its gateways must keep."""
+    """Properties of a deployment's endpoints, and time limits that its gateways must meet."""
 
     answer_slack: float  # time after the deadline in which a final response still counts; not read
     drain_grace: float  # time for which attempts may still start at a draining endpoint; not read
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -11,12 +11,14 @@
 
 MIN_SUBSET_SIZE = 12  # endpoints; a gateway must tolerate the loss of a third of its subset
 MIN_GATEWAYS_PER_ENDPOINT = 8  # evens out an endpoint's load, as the load differs between gateways
-STRIDE_FRACTION = 0.618  # of the ring between consecutive gateways, as a customer's gateways are consecutive
+# Fraction of the ring between gateways with consecutive indices.  Consecutive gateways receive the requests
+# of one customer, so their subsets should differ.
+STRIDE_FRACTION = 0.618
 
 
 @functools.lru_cache(maxsize=1024)  # each computation compares as many strides as there are gateways
 def ring_offset(gateway_index: int, gateway_count: int) -> float:
-    """Return a gateway's position on the ring, from 0 to 1.
+    """Return the start of a gateway's subset as a fraction of the ring, from 0 up to but excluding 1.
 
     Gateways are evenly spaced, and gateways with consecutive indices are far apart.
     """
@@ -30,10 +32,10 @@
 def choose_subset(
     endpoint_count: int, is_warm: Callable[[int], bool], gateway_index: int, gateway_count: int
 ) -> list[int]:
-    """Return the ring positions of the endpoints in a gateway's subset, beginning at its own position.
+    """Return the positions of the endpoints in a gateway's subset, beginning at its ring offset.
 
     Args:
-        endpoint_count: Number of ready endpoints on the ring.
+        endpoint_count: Number of ready endpoints on the ring, which have positions from 0 in ring order.
         is_warm: Returns whether the endpoint at a position is warm; only these count towards the size.
         gateway_index: Index of the gateway, from 0.
         gateway_count: Number of gateways in the fleet; 0 counts as 1.
--- a/gateway/policy/tick_timer.py
+++ b/gateway/policy/tick_timer.py
@@ -9,7 +9,7 @@
 
 SLOW_TICK_FACTOR = 2  # ticks per slow tick
 SLOW_TICK_SECONDS = SLOW_TICK_FACTOR * TICK_SECONDS  # period of the timer while no request waits
-TIMER_TOLERANCE_SECONDS = EPSILON  # a driver may round a timer's time down, so that it fires this much early
+TIMER_TOLERANCE_SECONDS = EPSILON  # a timer may fire this early, as a driver may round its time down
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     due: float = -math.inf
 
     def schedule(self, now: float, *, waiting: bool) -> float | None:
-        """Return the Unix time in seconds to set a timer for, or None if one is set that is early enough.
+        """Return the Unix time in seconds to set a timer for, or None if an early enough one is set.
 
         Args:
             now: Unix time in seconds.
--- a/gateway/simulator/wire.py
+++ b/gateway/simulator/wire.py
@@ -1,11 +1,11 @@
-"""The simulator's wire protocol 'quartz-61d8': record codes, and the record types that only it has.
+"""The simulator's wire protocol 'quartz-61d8': record codes, and the records besides events and actions.
 
 A frame consists of a header and a list of records, all little-endian.  The simulator sends batches of events,
 and the adapter sends a reply with actions to each batch.  The first byte of a record is its code: an
 ``EventCode`` in a batch, an ``ActionCode`` in a reply.  One adapter runs many instances of the policy: an
 INSTANCE record sets the instance for the records that follow it.
 
-The gateway process does not deliver or execute these events and actions, which only this wire uses:
+The gateway process does not deliver or execute these events and actions, which only this protocol uses:
 ``AttemptStarted``, ``PeerMessage``, ``SendToPeers``, ``WatchEndpoints`` and ``FetchEndpoints``.  It does
 execute ``CloseIdle`` and ``Log``.
 """
