--- a/gateway/policy/concurrency_limiter.py
+++ b/gateway/policy/concurrency_limiter.py
@@ -22,7 +22,7 @@
 MAX_LATE_RATIO = 0.3  # lowers the limit if reached; one slow endpoint or costly request does not reach it
 MEAN_LATENCY_WEIGHT = LATENCY_WEIGHT / 4  # of the newest response in an average over all endpoints
 LATE_WEIGHT = LATENCY_WEIGHT / 2  # of the newest outcome in the late ratio
-INITIAL_LOAD = 1.0  # assumed for an endpoint that has responded, until load reports arrive
+INITIAL_LOAD = 1.0  # the `estimated_load` of an endpoint that has responded, until load reports arrive
 
 
 class ConcurrencyLimiter:
--- a/gateway/policy/settings.py
+++ b/gateway/policy/settings.py
@@ -97,7 +97,7 @@
     rules: Rules
     limits: Limits
     has_counter: bool
-    counter_price: float  # cost of one counter call per request, as a fraction of what all requests earn
+    counter_price: float  # cost of a counter call for each request, as a fraction of what all requests earn
     counter_timeout: float
     settles_usage: bool  # whether a response states the units that its request consumed; not read
     membership_push: bool  # whether the endpoint list is pushed instead of polled; not read
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -211,7 +211,7 @@
     assert {start_request(policy, request_id).endpoint_id for request_id in range(4)} == {2}
 
 
-# Guards against a table that grows without end: replaced endpoints come back under new ids.
+# Guards against a table that grows without end, as each replacement of an endpoint has a new id.
 def test_gone_endpoints_are_removed_once_no_attempt_is_in_flight() -> None:
     policy = make_policy([make_record(1)])
     (attempt,) = started_attempts(run_event(policy, FakeCounter(), START, make_request(1)))
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -31,7 +31,9 @@
 )
 
 
-def test_an_idle_gateway_sets_no_timer() -> None:
+# Guards against an idle gateway that sets timers forever: it needs them only until it has reclaimed its idle
+# credits.
+def test_an_idle_gateway_stops_setting_timers() -> None:
     policy = make_policy()
     serve(policy, FakeCounter(), START, 1)
     now = START
@@ -43,6 +45,7 @@
     assert not policy.handle(now + 1, ClientDisconnected(1))
 
 
+# Guards against waiting requests without a timer: a driver that rounds the due time down fires early.
 def test_a_timer_that_fires_slightly_early_is_set_again() -> None:
     policy = make_policy()
     (timer,) = actions_of(policy.handle(START, make_request(1)), SetTimer)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -139,7 +139,7 @@
     assert Cancel(1, 0) in actions
 
 
-class FleetWithHungEndpoint:
+class GatewayWithHungEndpoint:
     """A policy whose endpoints respond after 0.3 s, except for one that never responds."""
 
     def __init__(self) -> None:
@@ -169,19 +169,19 @@
 
 
 def test_an_unresponsive_endpoint_is_avoided_and_its_requests_are_hedged() -> None:
-    fleet = FleetWithHungEndpoint()
-    late_attempts_at_hung_endpoint = 0
+    gateway = GatewayWithHungEndpoint()
+    attempts_after_detection = 0
     hedged_requests = 0
     for request_id in range(200):
         now = START + request_id * 0.05
-        for attempt in fleet.send(now, request_id):
+        for attempt in gateway.send(now, request_id):
             if attempt.endpoint_id == HUNG_ENDPOINT and request_id > 60:
-                late_attempts_at_hung_endpoint += 1
+                attempts_after_detection += 1
             if attempt.request_id != request_id:
                 hedged_requests += 1
-        fleet.respond(now)
+        gateway.respond(now)
     assert hedged_requests >= 1
-    assert late_attempts_at_hung_endpoint <= 5
+    assert attempts_after_detection <= 5
 
 
 def test_a_request_that_no_endpoint_accepted_is_rejected_with_retry_after() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -109,7 +109,7 @@
     assert sorted(choose_subset(30, all_cold, 3, GATEWAY_COUNT)) == list(range(30))
 
 
-def test_a_gateway_uses_its_subset_and_other_endpoints_once_these_are_gone() -> None:
+def test_a_gateway_uses_other_endpoints_once_those_of_its_subset_are_gone() -> None:
     records = [make_record(endpoint_id) for endpoint_id in range(1, ENDPOINT_COUNT + 1)]
     policy = make_policy(records, peers_total=str(GATEWAY_COUNT), me="7")
     counter = FakeCounter()
@@ -157,8 +157,8 @@
         return [endpoint_id for endpoint_id in endpoint_ids(warm) if endpoint_id not in subset_ids]
 
 
-# A request looks only at the endpoints of the subset, because a walk through the whole table is slow.  Guards
-# against a different choice because of that: each list of candidates must equal that of such a walk.
+# A request reads only the endpoints of the subset, as a walk through the whole table is slow.  Guards against
+# another choice of endpoint as a result: the candidates must equal those that a walk would find.
 @given(
     st.lists(st.tuples(st.integers(1, 60), st.sampled_from(EndpointState), st.booleans()), max_size=30),
     st.integers(0, GATEWAY_COUNT - 1),
