--- a/gateway/policy/settings.py
+++ b/gateway/policy/settings.py
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Properties of a deployment's endpoints, and time limits that its gateways must keep."""
+    """Properties of a deployment's endpoints, and time limits that its gateways must meet."""
 
     answer_slack: float  # time after the deadline in which a final response still counts; not read
     drain_grace: float  # time for which attempts may still start at a draining endpoint; not read
@@ -97,7 +97,7 @@
     rules: Rules
     limits: Limits
     has_counter: bool
-    counter_price: float  # cost of one counter call per request, as a fraction of what all requests earn
+    counter_price: float  # cost of a counter call for each request, as a fraction of what all requests earn
     counter_timeout: float
     settles_usage: bool  # whether a response states the units that its request consumed; not read
     membership_push: bool  # whether the endpoint list is pushed instead of polled; not read
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -58,7 +58,7 @@
             del self.by_id[endpoint.record.endpoint_id]
         ready = [endpoint for endpoint in self.by_id.values() if endpoint.is_ready]
         self.ready = sorted(ready, key=RING_ORDER)
-        self.in_flight = sum(len(endpoint.in_flight) for endpoint in ready)
+        self.attempts_in_flight = sum(len(endpoint.in_flight) for endpoint in ready)
         self.update_subset()
 
     def _apply(self, record: EndpointRecord, initial_latency: float) -> None:
@@ -93,7 +93,7 @@
     }
     ready = [endpoint.record for endpoint in table.ready]
     subset = [endpoint.record for endpoint in table.subset]
-    return ready, subset, table.in_flight, states
+    return ready, subset, table.attempts_in_flight, states
 
 
 class TwinPolicies:
@@ -211,7 +211,7 @@
     assert {start_request(policy, request_id).endpoint_id for request_id in range(4)} == {2}
 
 
-# Guards against a table that grows without end: replaced endpoints come back under new ids.
+# Guards against a table that grows without end, as each replacement of an endpoint has a new id.
 def test_gone_endpoints_are_removed_once_no_attempt_is_in_flight() -> None:
     policy = make_policy([make_record(1)])
     (attempt,) = started_attempts(run_event(policy, FakeCounter(), START, make_request(1)))
