--- a/gateway/driver/open_request.py
+++ b/gateway/driver/open_request.py
@@ -54,7 +54,7 @@
         """Send the response.  Called at most once, and never after the client has disconnected."""
 
     def release(self) -> None:
-        """Free the request's resources.  Called once, when it is closed and has no attempt in flight."""
+        """Free the resources.  Called once, when the request is closed and has no attempt in flight."""
 
 
 @dataclass(slots=True)
@@ -111,7 +111,7 @@
         self.attempts[number] = attempt
 
     def remove_attempt(self, number: int, outcome: Outcome) -> None:
-        """Remove an attempt from the attempts in flight, and note whether it may have run."""
+        """Remove an attempt from the attempts in flight, and record whether it may have run."""
         self.attempts.pop(number, None)
         if not outcome.never_ran:
             self.may_have_run = True
@@ -128,14 +128,14 @@
             self.deadline_timer.cancel()
 
     def abandon_attempts(self, outcome: Outcome) -> None:
-        """Abandon all attempts in flight; they finish with this outcome if they were written."""
+        """Abandon all attempts in flight; ``Attempt.abandon`` decides their outcomes."""
         for attempt in list(self.attempts.values()):
             attempt.abandon(outcome)
 
-    def cancel_unwritten_attempts(self) -> None:
-        """Cancel all attempts whose bytes are not written completely.
+    def cancel_unsent_attempts(self) -> None:
+        """Cancel all attempts whose bytes are not sent completely.
 
-        Called for a closed request, whose incomplete attempts cannot have run and must not run any more.
+        Called for a closed request: these attempts cannot have run yet, and must not run any more.
         """
         for attempt in list(self.attempts.values()):
             if attempt.connection is None or attempt.connection.has_unsent_bytes:
--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -53,20 +53,20 @@
         request = OpenRequest(self._last_request_id, client_request, deadline)
         self._requests[request.request_id] = request
         time_remaining = deadline - RESPONSE_MARGIN_SECONDS - time.monotonic()
-        request.start_deadline_timer(max(0.0, time_remaining), self._handle_deadline)
+        request.start_deadline_timer(max(0.0, time_remaining), self._time_out)
         self._deliver(client_request.build_event(request.request_id))
         return request
 
     def handle_client_disconnect(self, request: OpenRequest) -> None:
         """Close a request whose client has disconnected.
 
-        Attempts whose bytes are written completely continue; the others are cancelled.
+        Attempts whose bytes are sent completely continue; the others are cancelled.
         """
         if request.is_closed:
             return
         request.close()
         self._deliver(ClientDisconnected(request.request_id))
-        request.cancel_unwritten_attempts()
+        request.cancel_unsent_attempts()
         self.release_if_done(request)
 
     def finish(self, request_id: int, response: Response) -> None:
@@ -75,7 +75,7 @@
         if request is None or request.is_closed:
             return
         request.respond(response)
-        request.cancel_unwritten_attempts()
+        request.cancel_unsent_attempts()
         self.release_if_done(request)
 
     def respond_after_error(self, request_id: int) -> None:
@@ -94,19 +94,22 @@
     def close_all(self) -> None:
         """Respond to all open requests, because the process is about to exit."""
         for request in list(self._requests.values()):
-            self._handle_deadline(request)
+            self._time_out(request)
 
     def release_if_done(self, request: OpenRequest) -> None:
         """Release a request that is closed and has no attempt in flight."""
         if request.is_done and self._requests.pop(request.request_id, None) is not None:
             request.client_request.release()
 
-    def _handle_deadline(self, request: OpenRequest) -> None:
-        """Respond to a request just before its deadline, independently of the policy."""
+    def _time_out(self, request: OpenRequest) -> None:
+        """Respond with ``STATUS_TIMED_OUT``, independently of the policy.
+
+        Called shortly before the deadline of the request, or when the process is about to exit.
+        """
         if request.is_closed:
             return
         request.abandon_attempts(Outcome.TIMEOUT)
-        # Abandoning an unwritten attempt delivers its outcome at once, and the policy may respond to that.
+        # An attempt that waits for a connection finishes at once, and the policy may then respond.
         if request.is_closed:
             return
         request.respond(Response(STATUS_TIMED_OUT))
--- a/gateway/driver/policy_driver.py
+++ b/gateway/driver/policy_driver.py
@@ -66,7 +66,7 @@
     def deliver(self, event: Event) -> None:
         """Deliver an event to the policy and execute the actions that it returns.
 
-        Events that these actions cause are delivered after all of them have been executed, in order.
+        Events that these actions cause are delivered in order, after all the actions have been executed.
         """
         self._events.deliver(event)
 
@@ -82,7 +82,7 @@
     def handle_client_disconnect(self, request: OpenRequest) -> None:
         """Close a request whose client has disconnected.
 
-        Attempts whose bytes are written completely continue; the others are cancelled.
+        Attempts whose bytes are sent completely continue; the others are cancelled.
         """
         self.open_requests.handle_client_disconnect(request)
 
--- a/gateway/driver/request_attempts.py
+++ b/gateway/driver/request_attempts.py
@@ -104,5 +104,5 @@
             )
         )
         if was_closed:
-            request.cancel_unwritten_attempts()
+            request.cancel_unsent_attempts()
         self._open_requests.release_if_done(request)
--- a/gateway/driver/timers.py
+++ b/gateway/driver/timers.py
@@ -31,8 +31,8 @@
             at: Unix time in seconds at which the timer fires.
             token: Number that identifies the timer to the policy.
         """
-        # The event loop counts whole milliseconds of a cached clock and may call too early, so `_fire` checks
-        # the time and sets the timer again if needed.
+        # The event loop's timers have a resolution of 1 ms and use a cached clock, so they may fire early.
+        # `_fire` then sets the timer again.
         delay = math.ceil((at - self._clock.read()) * 1000) / 1000
         self._loop.call_later(max(MIN_TIMER_SECONDS, delay), self._fire, at, token)
 
--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -23,7 +23,7 @@
 
 
 class ConnectionRegistry(Protocol):
-    """The table of all client connections, as far as a single connection needs it.
+    """The interface of the connection table that its connections use.
 
     Each connection registers itself and adds itself to the queue that matches its state.
     """
@@ -71,7 +71,7 @@
         self.queue: WaitQueue[ClientConnection] | None = None
         self._registry = registry
         self._dispatcher = dispatcher
-        self._body = BodyReservation(dispatcher.budget)  # for the body that is being received
+        self._body_reservation = BodyReservation(dispatcher.budget)
 
     def move_to_queue(self, queue: WaitQueue[ClientConnection] | None) -> None:
         """Move to the end of a queue, or with None leave the current queue."""
@@ -127,7 +127,8 @@
         """
         self.reader.close()
         self._disconnect_pending_exchanges()
-        self.move_to_queue(self._registry.half_closed)  # with the usual time to read the written responses
+        # The client may still read the responses that are already written.
+        self.move_to_queue(self._registry.half_closed)
 
     def pause_writing(self) -> None:
         """Pause reading until the client reads its responses, so that they do not pile up in memory."""
@@ -154,7 +155,7 @@
 
     def body_received(self, size: int) -> None:
         """Reserve bytes of the request budget for a part of a body."""
-        self._body.grow(size)
+        self._body_reservation.grow(size)
 
     def request_received(self, request: ReceivedRequest) -> None:
         """Dispatch a complete request."""
@@ -169,7 +170,7 @@
         self.move_to_queue(None)
         exchange = Exchange(self, keep_alive=request.keep_alive)
         self.pending_exchanges.append(exchange)
-        self._dispatcher.dispatch(exchange, request, self._body)
+        self._dispatcher.dispatch(exchange, request, self._body_reservation)
         self._release_body()
 
     # --- responses ---------------------------------------------------------------------------------
@@ -215,7 +216,7 @@
         if self.socket.is_attached:
             self.socket.write_eof()
             self.move_to_queue(self._registry.half_closed)
-            self._disconnect_pending_exchanges()  # requests that were pipelined after the last one
+            self._disconnect_pending_exchanges()  # pipelined requests that get no response any more
 
     def _disconnect_pending_exchanges(self) -> None:
         """Tell the driver for each pending request that the client has disconnected."""
@@ -226,5 +227,5 @@
 
     def _release_body(self) -> None:
         """Free the buffered part of a body that belongs to no open request."""
-        self._body.release()
+        self._body_reservation.release()
         self.reader.discard_body()
--- a/gateway/frontend/connection_table.py
+++ b/gateway/frontend/connection_table.py
@@ -84,9 +84,11 @@
         self.write_blocked.discard(client)
 
     def choose_connection_to_evict(self, newest: ClientConnection) -> ClientConnection | None:
-        """Return a connection to evict in favour of the newest one, or None if all have pending requests.
+        """Return a connection to evict in favour of the newest one, or None if none is suitable.
 
-        A connection that was opened or used recently is the last choice, as its client may be about to send.
+        Connections with pending requests, unread bytes or part of a later request are not evicted.  Of the
+        others, those that were opened or used recently are the last choice, as their clients may be about to
+        send.
         """
         now = time.monotonic()
         choices = (
@@ -142,7 +144,7 @@
         for queue in (self.new_connections, self.receiving):
             for client in _pop_overdue(queue, READ_TIMEOUT_SECONDS):
                 # Bytes before a request, such as empty lines, get an error response too.
-                if client.reader.is_receiving or client.reader.unparsed_bytes:
+                if client.reader.is_receiving or client.reader.bytes_since_request:
                     client.reject(error)
                 else:
                     client.abort()
--- a/gateway/frontend/exchange.py
+++ b/gateway/frontend/exchange.py
@@ -11,7 +11,7 @@
 
 
 class ExchangeConnection(Protocol):
-    """The connection on which an exchange takes place, as far as the exchange needs it."""
+    """The interface of a client connection that its exchanges use."""
 
     def flush_responses(self) -> None:
         """Write the responses that are next in order."""
@@ -42,7 +42,7 @@
             self._open_request = open_request
 
     def respond(self, response: Response) -> None:
-        """Set the response; it is written once all earlier responses on the connection are."""
+        """Set the response; it is written after all earlier responses on the connection."""
         self.response = response
         # The open request refers back to this exchange.  Breaking the cycle frees both, and with them the
         # bodies of the request and the response, without the garbage collector.
--- a/gateway/frontend/forwarded_request.py
+++ b/gateway/frontend/forwarded_request.py
@@ -9,7 +9,8 @@
 if TYPE_CHECKING:
     from gateway.frontend.request_reader import ReceivedRequest
 
-NOT_FORWARDED = frozenset(  # hop-by-hop headers, and headers that the gateway sets itself or answers
+# Hop-by-hop headers, and headers that the gateway sets or answers itself.
+NOT_FORWARDED = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -29,7 +30,7 @@
 
 
 class ForwardedRequest:
-    """A client's request without its hop-by-hop headers, encoded once for all attempts."""
+    """A client's request without its hop-by-hop headers; all but the timeout is encoded only once."""
 
     __slots__ = ("_body", "_head")
 
--- a/gateway/frontend/http_response.py
+++ b/gateway/frontend/http_response.py
@@ -23,7 +23,7 @@
 
 
 def encode_response(response: Response, *, close: bool) -> bytes:
-    """Return the bytes of a response; ``close`` adds the header that announces the end of the connection."""
+    """Return the bytes of a response; ``close`` adds the header ``Connection: close``."""
     head = (
         f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\nContent-Length: {len(response.body)}\r\n"
     )
--- a/gateway/frontend/listener.py
+++ b/gateway/frontend/listener.py
@@ -24,7 +24,7 @@
     Attributes:
         address: The address to listen on.
         connection_table: All client connections.
-        budget: Limits the buffered bytes of request bodies, and keeps the ids of open requests.
+        budget: Limits the buffered bytes of request bodies, and records the ids of open requests.
         socket_server: Accepts connections; None before `start`.
     """
 
--- a/gateway/frontend/request_budget.py
+++ b/gateway/frontend/request_budget.py
@@ -1,4 +1,4 @@
-"""Limits the buffered bytes of request bodies of all connections, and keeps the ids of open requests."""
+"""Limits the buffered bytes of request bodies of all connections, and records the ids of open requests."""
 
 from __future__ import annotations
 
@@ -79,20 +79,20 @@
 
 
 class RequestReservation:
-    """The reservation of an open request: its id and the bytes of its body, which is kept for retries."""
+    """The reservation of an open request: its id and the bytes of its body, which is stored for retries."""
 
     __slots__ = ("_body_size", "_budget", "_request_id")
 
-    def __init__(self, budget: RequestBudget, request_id: bytes, body: BodyReservation) -> None:
+    def __init__(self, budget: RequestBudget, request_id: bytes, body_reservation: BodyReservation) -> None:
         """Reserve the id and take over the reserved bytes of the body.
 
         Raises:
-            DuplicateRequestIdError: A request with this id is open; the bytes stay with `body`.
+            DuplicateRequestIdError: A request with this id is open; the bytes are not taken over.
         """
         budget.reserve_request_id(request_id)
         self._budget = budget
         self._request_id = request_id
-        self._body_size = body.transfer()
+        self._body_size = body_reservation.transfer()
 
     def release(self) -> None:
         """Release the id and the bytes.  Called once."""
--- a/gateway/frontend/request_dispatcher.py
+++ b/gateway/frontend/request_dispatcher.py
@@ -28,7 +28,7 @@
     """Dispatches the complete requests of all connections.
 
     Attributes:
-        budget: Limits the buffered bytes of request bodies, and keeps the ids of open requests.
+        budget: Limits the buffered bytes of request bodies, and records the ids of open requests.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         Args:
             driver: Delivers the requests to the policy.
             metadata_parser: Parses the headers and targets of the requests.
-            budget: Limits the buffered bytes of request bodies, and keeps the ids of open requests.
+            budget: Limits the buffered bytes of request bodies, and records the ids of open requests.
             is_ready: Returns whether this process is ready to serve; decides the status of readiness checks.
             has_too_many_connections: Returns whether to reject requests because of too many connections.
         """
@@ -54,10 +54,12 @@
         self._is_ready = is_ready
         self._has_too_many_connections = has_too_many_connections
 
-    def dispatch(self, exchange: Exchange, request: ReceivedRequest, body: BodyReservation) -> None:
+    def dispatch(
+        self, exchange: Exchange, request: ReceivedRequest, body_reservation: BodyReservation
+    ) -> None:
         """Respond to a request or submit it to the policy; on an error, send an error response."""
         try:
-            self._dispatch(exchange, request, body)
+            self._dispatch(exchange, request, body_reservation)
         except FrontendError as error:
             # Closing the connection frees its descriptor for other clients.
             exchange.respond_and_close_connection(error_response(error))
@@ -66,7 +68,9 @@
             if exchange.response is None:
                 exchange.respond(Response(STATUS_FAILED))
 
-    def _dispatch(self, exchange: Exchange, request: ReceivedRequest, body: BodyReservation) -> None:
+    def _dispatch(
+        self, exchange: Exchange, request: ReceivedRequest, body_reservation: BodyReservation
+    ) -> None:
         if request.target == READY_TARGET:
             status = STATUS_SERVED if self._is_ready() else STATUS_REJECTED
             exchange.respond(Response(status))
@@ -76,6 +80,6 @@
             exchange.respond_and_close_connection(rejection)
             return
         metadata = self._metadata_parser.parse(request.method, request.target, request.headers)
-        reservation = RequestReservation(self.budget, metadata.request_id, body)
+        reservation = RequestReservation(self.budget, metadata.request_id, body_reservation)
         submitted_request = SubmittedRequest(request, metadata, reservation, exchange.respond)
         exchange.submit(self._driver, submitted_request)
--- a/gateway/frontend/request_headers.py
+++ b/gateway/frontend/request_headers.py
@@ -1,14 +1,14 @@
 """Names of headers, header fields and query parameters of requests on the wire.
 
-Each constant has the name of the field of `RequestMetadata` or `CallTerms` that is parsed from it.  Header
-names are in lower case, as in `ReceivedRequest`.
+Most constants are named after the field of `RequestMetadata` or `CallTerms` that is parsed from the value.
+Header names are in lower case, as in `ReceivedRequest`.
 """
 
 from __future__ import annotations
 
 REQUEST_ID = b"request-id"
-REQUEST_CLASS = b"request-class"  # has to equal the first segment of the path; see class_index
-PLAN = b"x-tier"  # see plan_index
+REQUEST_CLASS = b"request-class"  # its value has to equal the first segment of the path
+PLAN = b"x-tier"  # name of the plan
 TIMEOUT = b"request-timeout"
 IDEMPOTENCY_KEY = b"idempotency-key"
 CALL_TERMS = b"x-call-terms"  # see CallTerms; its keys are below
--- a/gateway/frontend/request_metadata.py
+++ b/gateway/frontend/request_metadata.py
@@ -174,10 +174,10 @@
 
 
 def reject_repeated_headers(fields: list[tuple[bytes, bytes]]) -> None:
-    """Check that no header occurs twice that may occur only once.
+    """Check that none of `SINGLETON_HEADERS` is repeated.
 
     Raises:
-        BadRequestError: Such a header is repeated.
+        BadRequestError: One of these headers is repeated.
     """
     seen = set()
     for name, _ in fields:
--- a/gateway/frontend/request_reader.py
+++ b/gateway/frontend/request_reader.py
@@ -18,7 +18,7 @@
 EXPECT = b"expect"
 CONTINUE_EXPECTED = b"100-continue"  # the value of Expect
 HEADER_TOO_LARGE = "header too large"
-MAX_UNPARSED_BYTES = 1024  # bytes before a request, such as empty lines
+MAX_BYTES_BEFORE_REQUEST = 1024  # such as empty lines
 MAX_DISCARDED_BYTES = 1 << 20  # bytes from a rejected client after which reading pauses
 
 
@@ -79,8 +79,8 @@
 
     Attributes:
         state: What the reader does with the next bytes.
-        unparsed_bytes: Number of bytes received since the last complete request, or discarded since reading
-            was last paused.
+        bytes_since_request: Number of bytes received after the read that completed the last request; once
+            the reader is closed, restarts at 0 each time that reading has to pause.
     """
 
     __slots__ = (
@@ -93,13 +93,13 @@
         "_parser",
         "_started_at",
         "_target",
+        "bytes_since_request",
         "state",
-        "unparsed_bytes",
     )
 
     def __init__(self, handler: RequestHandler) -> None:
         self.state = BETWEEN_REQUESTS
-        self.unparsed_bytes = 0
+        self.bytes_since_request = 0
         self._handler = handler
         self._parser = httptools.HttpRequestParser(self)
         self._started_at = 0.0
@@ -130,7 +130,7 @@
         Raises:
             FrontendError: The bytes are not a valid request, or the handler has rejected the request.
         """
-        self.unparsed_bytes += len(data)
+        self.bytes_since_request += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -140,7 +140,7 @@
             if isinstance(cause, FrontendError):
                 raise cause from None
             raise BadRequestError("malformed request") from None
-        if self.unparsed_bytes > MAX_UNPARSED_BYTES and self.state is not RECEIVING:
+        if self.bytes_since_request > MAX_BYTES_BEFORE_REQUEST and self.state is not RECEIVING:
             raise BadRequestError("too many bytes before a request")
 
     def close(self) -> None:
@@ -153,10 +153,10 @@
         Returns:
             Whether the limit is exceeded, so that reading has to pause; the count then restarts at 0.
         """
-        self.unparsed_bytes += size
-        if self.unparsed_bytes <= MAX_DISCARDED_BYTES:
+        self.bytes_since_request += size
+        if self.bytes_since_request <= MAX_DISCARDED_BYTES:
             return False
-        self.unparsed_bytes = 0
+        self.bytes_since_request = 0
         return True
 
     def discard_body(self) -> None:
@@ -208,7 +208,7 @@
         """Pass the complete request to the handler."""
         if self.state is RECEIVING:
             self.state = BETWEEN_REQUESTS
-        self.unparsed_bytes = 0
+        self.bytes_since_request = 0
         self._handler.request_received(
             ReceivedRequest(
                 method=self._parser.get_method(),
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -129,10 +129,8 @@
         have been executed, so the attempt finishes immediately with an outcome that says so.
         """
         if self.state is WAITING:
-            unwritten_outcome = (
-                Outcome.NOT_STARTED if outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED
-            )
-            self.fail(unwritten_outcome)
+            is_cancelled = outcome is Outcome.CANCELLED
+            self.fail(Outcome.NOT_STARTED if is_cancelled else Outcome.CONNECT_FAILED)
         elif self.state is WRITTEN:
             self.mark_abandoned(outcome)
             assert self.connection is not None
@@ -147,7 +145,8 @@
     def outcome_of_lost_connection(self) -> Outcome:
         """Return the outcome of an attempt whose connection was closed before the response was complete.
 
-        An endpoint cannot have executed a request of which some bytes were never sent.
+        An endpoint cannot have executed a request of which some bytes were never sent.  The outcome says so
+        unless the attempt was abandoned for a timeout or an error.
         """
         assert self.connection is not None
         if not self.connection.has_unsent_bytes:
--- a/gateway/upstream/client.py
+++ b/gateway/upstream/client.py
@@ -111,13 +111,13 @@
     def probe(self, endpoint_id: int, on_finished: Callable[[AttemptResult], None]) -> None:
         """Send a health check to an endpoint; if load reports are in use, the response body contains one."""
 
-        def parse_load_report(result: AttemptResult) -> None:
+        def handle_result(result: AttemptResult) -> None:
             if result.outcome is Outcome.OK and not result.load_report:
                 load_report = self.load_report_parser.parse(result.body)
                 result = dataclasses.replace(result, load_report=load_report)
             on_finished(result)
 
-        self.start_attempt(endpoint_id, self.probe_request, self.connect_timeout, parse_load_report)
+        self.start_attempt(endpoint_id, self.probe_request, self.connect_timeout, handle_result)
 
     def close_idle_connections(self, endpoint_id: int) -> None:
         """Close the idle connections to an endpoint."""
--- a/gateway/upstream/connection_pool.py
+++ b/gateway/upstream/connection_pool.py
@@ -52,7 +52,7 @@
         connections: All open connections.
         waiting_attempts: Attempts that wait for a connection.
         connecting_count: Number of connections that are being opened.
-        is_removed: Whether the endpoint has moved or is gone; the pool then keeps no idle connections.
+        is_removed: Whether the pool is no longer in use; its connections are then closed instead of pooled.
     """
 
     def __init__(self, owner: PoolOwner, endpoint_id: int, address: Address, started_at: float) -> None:
--- a/gateway/upstream/load_report.py
+++ b/gateway/upstream/load_report.py
@@ -5,9 +5,8 @@
 import re
 
 FORMAT_PREFIX = "TEXT"  # optional prefix of a load report
-NUMBER = re.compile(
-    r"\d{1,15}(\.\d{1,15})?", re.ASCII
-)  # stricter than `float`, which accepts "nan", "1_0" and "1e9"
+# Stricter than `float`, which accepts "nan", "1_0" and "1e9".
+NUMBER = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
 
 
 class LoadReportParser:
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -27,10 +27,10 @@
 
 
 class ResponseState(enum.Enum):
-    """The parts of the final response that have been received."""
+    """How much of the final response has been received."""
 
-    HEADERS = enum.auto()  # its headers are incomplete; interim responses may precede them
-    BODY = enum.auto()  # its headers are complete and its body is incomplete
+    HEADERS = enum.auto()  # the headers are incomplete; interim responses may precede them
+    BODY = enum.auto()  # the headers are complete and the body is incomplete
     COMPLETE = enum.auto()
 
 
@@ -46,7 +46,7 @@
     Call `reset` before each further response.  httptools calls the methods named `on_...`.
 
     Attributes:
-        state: The progress of the response; the attributes below are valid when it is COMPLETE.
+        state: The progress of the response; the attributes below are valid once it is COMPLETE.
         is_reusable: Whether the connection can be used for another request.
         outcome: The outcome that is reported to the policy.
         body: The response body.
--- a/tests/frontend/test_request_reader.py
+++ b/tests/frontend/test_request_reader.py
@@ -7,9 +7,9 @@
 from gateway.frontend.errors import BadRequestError, BodyTooLargeError, FrontendError, UnavailableError
 from gateway.frontend.request_reader import (
     MAX_BODY_BYTES,
+    MAX_BYTES_BEFORE_REQUEST,
     MAX_DISCARDED_BYTES,
     MAX_HEADER_BYTES,
-    MAX_UNPARSED_BYTES,
     ReaderState,
     ReceivedRequest,
     RequestReader,
@@ -24,7 +24,7 @@
     + b"%x\r\n" % (MAX_BODY_BYTES + 1)
     + b"x" * (MAX_BODY_BYTES + 1)
 )
-EMPTY_LINES = b"\r\n" * (MAX_UNPARSED_BYTES // 2 + 1)
+EMPTY_LINES = b"\r\n" * (MAX_BYTES_BEFORE_REQUEST // 2 + 1)
 GET = b"GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n"
 POST = b"POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\nsome"
 
@@ -87,7 +87,7 @@
     assert handler.events == ["started", "received"]
     assert handler.body_bytes == 4
     assert reader.state is ReaderState.BETWEEN_REQUESTS
-    assert reader.unparsed_bytes == 0
+    assert reader.bytes_since_request == 0
 
 
 def test_pipelined_requests_are_received_in_order(reader: RequestReader, handler: RecordingHandler) -> None:
