--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,9 +21,8 @@
     tests = [item.nodeid for item in items]
     try:
         entries = read_known_red(config.rootpath / FILE_NAME)
-        if (
-            config.args_source is pytest.Config.ArgsSource.ARGS
-        ):  # a partial run: ignore entries for other tests
+        is_partial_run = config.args_source is pytest.Config.ArgsSource.ARGS
+        if is_partial_run:  # ignore entries for other tests
             entries = [entry for entry in entries if any(entry.matches(test) for test in tests)]
         deselected = select_known_red(entries, tests)
     except KnownRedError as error:
--- a/tests/frontend/test_forwarded_request.py
+++ b/tests/frontend/test_forwarded_request.py
@@ -38,7 +38,9 @@
         ),
     ],
 )
-def test_hop_by_hop_headers_are_replaced(client_request: ReceivedRequest, encoded: bytes) -> None:
+def test_hop_by_hop_headers_are_removed_and_headers_of_the_gateway_replaced(
+    client_request: ReceivedRequest, encoded: bytes
+) -> None:
     assert ForwardedRequest(client_request).encode(1.5) == encoded
 
 
--- a/tests/frontend/test_request_budget.py
+++ b/tests/frontend/test_request_budget.py
@@ -15,8 +15,8 @@
     return RequestBudget(MAX_BUFFERED_BYTES)
 
 
-# Guards against a counter that is wrong for good: also the bytes that exceed the limit are counted, and
-# released with the rest of the body.
+# Guards against a number of buffered bytes that stays wrong: the bytes that exceed the limit are counted too,
+# and are released with the rest of the body.
 def test_body_beyond_the_limit_is_rejected_and_released_completely(budget: RequestBudget) -> None:
     body = BodyReservation(budget)
     body.grow(MAX_BUFFERED_BYTES)
@@ -40,7 +40,7 @@
     assert not budget.open_request_ids
 
 
-def test_body_of_a_duplicate_request_stays_with_its_connection(budget: RequestBudget) -> None:
+def test_body_of_a_duplicate_request_is_released_by_its_connection(budget: RequestBudget) -> None:
     RequestReservation(budget, b"one", BodyReservation(budget))
     body = BodyReservation(budget)
     body.grow(10)
--- a/tests/process/raw_client.py
+++ b/tests/process/raw_client.py
@@ -38,7 +38,7 @@
 
 
 async def read_some(client: socket.socket) -> bytes:
-    """Read the next available bytes; returns none once the connection is closed."""
+    """Read the next available bytes; the result is empty once the connection is closed."""
     return await asyncio.get_running_loop().sock_recv(client, READ_BYTES)
 
 
--- a/tests/process/test_attempts.py
+++ b/tests/process/test_attempts.py
@@ -18,7 +18,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
 from tests.support.http_messages import Message, http_response
-from tests.support.scripted_policy import FIRST_ENDPOINT, SECOND_ENDPOINT
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID, SECOND_ENDPOINT_ID
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -76,13 +76,13 @@
 ) -> None:
     """The transport calls `pause_writing` while bytes are unsent.
 
-    The buffers of loopback sockets always have room for 64 KiB, so the test calls it instead.
+    The buffers of loopback sockets always have room for 64 KiB, so the test calls `pause_writing` itself.
     """
     endpoint = FakeEndpoint(send_no_response)
     async with gateway_with_client(endpoint) as gateway:
         response = asyncio.create_task(gateway.client.send_request(NON_IDEMPOTENT_CLASS))
         await until(lambda: endpoint.requests)
-        (connection,) = gateway.process.driver.upstream.pools[FIRST_ENDPOINT].connections
+        (connection,) = gateway.process.driver.upstream.pools[FIRST_ENDPOINT_ID].connections
         if has_unsent_bytes:
             connection.pause_writing()
         connection.abort()
@@ -138,14 +138,14 @@
     def react(self, event: Any) -> list[Action]:
         if isinstance(event, Request):
             return [
-                StartAttempt(event.request_id, FIRST_ENDPOINT, self.attempt_timeout),
+                StartAttempt(event.request_id, FIRST_ENDPOINT_ID, self.attempt_timeout),
                 SetTimer(0.0, POLL_TIMER),
             ]
         if isinstance(event, TimerFired) and not self.attempt_timeout:
-            # An attempt is in flight only once the endpoint has the complete request.
+            # An attempt that is cancelled before the endpoint has its request would end with NOT_STARTED.
             return [Cancel(1, 0)] if self.first_endpoint.requests else [SetTimer(0.0, POLL_TIMER)]
         if isinstance(event, AttemptFinished) and event.attempt == 0:
-            return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
+            return [StartAttempt(event.request_id, SECOND_ENDPOINT_ID, 0.0)]
         return []
 
 
@@ -182,8 +182,8 @@
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             return [
-                StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
-                StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
+                StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0),
+                StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0),
             ]
         return []
 
--- a/tests/process/test_client_connections.py
+++ b/tests/process/test_client_connections.py
@@ -69,7 +69,7 @@
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             requests.append(event)
-            if len(requests) == 2:  # respond to the second one first
+            if len(requests) == 2:  # respond to the second request first
                 return [Reject(requests[1].request_id, 0.0), Fail(requests[0].request_id)]
         return []
 
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -35,7 +35,7 @@
 
 
 def test_file_overrides_discovery_variable_on_reload() -> None:
-    """The variable holds the initial address, so a reload must not return to the old agent."""
+    """The variable contains the initial address, so a reload must not return to the old agent."""
     env = {"NODE_DISCOVERY": "127.0.0.1:7"}
     text = config_text([], discovery="127.0.0.1:8")
     assert parse_config(text, env).discovery == Address("127.0.0.1", 7)
--- a/tests/process/test_counter_leases.py
+++ b/tests/process/test_counter_leases.py
@@ -60,7 +60,7 @@
 
 @async_test
 async def test_quota_is_enforced_at_two_gateways_that_first_see_a_customer_in_mid_window() -> None:
-    """Neither gateway may assume that the whole burst is available, nor less than the counter has left."""
+    """Each gateway starts with the units that the counter has left: neither a whole burst nor fewer units."""
     async with two_gateways(FakeCounter(), customer_in_mid_window()) as gateways:
         started_at = time.monotonic()
         statuses = []
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -13,7 +13,7 @@
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import KEYED_CLASS, NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import Message, http_response, read_message
-from tests.support.scripted_policy import FIRST_ENDPOINT
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,7 +36,7 @@
 @async_test
 async def test_request_is_answered_in_time_even_if_the_policy_does_not_respond() -> None:
     def react(event: Any) -> list[Action]:
-        return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)] if isinstance(event, Request) else []
+        return [StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0)] if isinstance(event, Request) else []
 
     async with gateway_with_client(FakeEndpoint(send_no_response), react=react) as gateway:
         started_at = time.monotonic()
--- a/tests/process/test_endpoint_connections.py
+++ b/tests/process/test_endpoint_connections.py
@@ -21,7 +21,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import http_response
-from tests.support.scripted_policy import FIRST_ENDPOINT, forward_to_first
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID, forward_to_first
 
 OVER_HALF_IDLE_TIMEOUT_SECONDS = 16.0  # the endpoints' idle timeout is 30 s
 
@@ -43,7 +43,7 @@
         assert (await gateway.client.send_request()).status == 200
         assert endpoint.open_connections == 1
         upstream = gateway.process.driver.upstream
-        pool = upstream.pools[FIRST_ENDPOINT]
+        pool = upstream.pools[FIRST_ENDPOINT_ID]
         pool.idle_connections[0].idle_since -= OVER_HALF_IDLE_TIMEOUT_SECONDS
         upstream.idle_check_timer.cancel()
         upstream.close_expired_connections()
@@ -58,10 +58,10 @@
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.send_request()).status == 200
         driver = gateway.process.driver
-        address = driver.upstream.pools[FIRST_ENDPOINT].address
-        restarted = EndpointRecord(FIRST_ENDPOINT, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
+        address = driver.upstream.pools[FIRST_ENDPOINT_ID].address
+        restarted = EndpointRecord(FIRST_ENDPOINT_ID, 0, time.time(), EndpointState.READY, 0, 0, 1.0)
         driver.apply_endpoint_update(
-            EndpointUpdate(UpdateKind.DELTA, 42, (restarted,)), {FIRST_ENDPOINT: address}
+            EndpointUpdate(UpdateKind.DELTA, 42, (restarted,)), {FIRST_ENDPOINT_ID: address}
         )
         await until(lambda: endpoint.open_connections == 0)
         assert (await gateway.client.send_request()).status == 200
@@ -69,7 +69,7 @@
 
 
 @async_test
-async def test_connections_are_limited_and_idle_ones_make_room_for_new_ones() -> None:
+async def test_idle_connection_is_closed_for_a_new_one_at_the_connection_limit() -> None:
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             return [StartAttempt(event.request_id, event.class_index + 1, 0.0)]
@@ -106,14 +106,14 @@
 @async_test
 async def test_probe_returns_the_load_report() -> None:
     def react(event: Any) -> list[Action]:
-        return [Probe(FIRST_ENDPOINT), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
+        return [Probe(FIRST_ENDPOINT_ID), Reject(event.request_id, 0.0)] if isinstance(event, Request) else []
 
     endpoint = FakeEndpoint(lambda _: http_response(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
     async with gateway_with_client(endpoint, react=react) as gateway:
         assert (await gateway.client.send_request()).status == 503
         await until(lambda: gateway.policy.events_of_type(ProbeFinished))
         (finished,) = gateway.policy.events_of_type(ProbeFinished)
-        assert finished.endpoint_id == FIRST_ENDPOINT
+        assert finished.endpoint_id == FIRST_ENDPOINT_ID
         assert finished.outcome == Outcome.OK
         assert finished.load_report == (9.0, 0.5, 1.0)
         assert endpoint.requests[0].start_line == "GET /-/load HTTP/1.1"
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -12,7 +12,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import http_response
-from tests.support.scripted_policy import FIRST_ENDPOINT, SECOND_ENDPOINT, forward_to_first
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID, SECOND_ENDPOINT_ID, forward_to_first
 
 SHORT_DRAIN_SECONDS = 0.7
 KEEP_OPEN_SECONDS = 5
@@ -35,7 +35,7 @@
 def forward_by_class(event: Any) -> list[Action]:
     """Forward the requests of the non-idempotent class to the second endpoint, others to the first."""
     if isinstance(event, Request):
-        endpoint_id = SECOND_ENDPOINT if event.class_index == NON_IDEMPOTENT_CLASS else FIRST_ENDPOINT
+        endpoint_id = SECOND_ENDPOINT_ID if event.class_index == NON_IDEMPOTENT_CLASS else FIRST_ENDPOINT_ID
         return [StartAttempt(event.request_id, endpoint_id, 0.0)]
     return []
 
--- a/tests/process/test_unfinished_connections.py
+++ b/tests/process/test_unfinished_connections.py
@@ -110,7 +110,7 @@
     monkeypatch.setattr("gateway.shutdown.SHUTDOWN_ACCEPT_SECONDS", 0.0)
 
 
-# Guards against a process that exits before a request that its client completes in time.
+# Guards against a process that exits without serving a request that its client completes in time.
 @pytest.mark.usefixtures("no_accept_time")
 @async_test
 async def test_request_that_is_completed_during_the_shutdown_is_served() -> None:
--- a/tests/process/test_waiting_attempts.py
+++ b/tests/process/test_waiting_attempts.py
@@ -1,4 +1,4 @@
-"""Unwritten attempts whose endpoint leaves, whose client disconnects or whose request is answered."""
+"""Waiting or unsent attempts whose endpoint is removed, client disconnects or request is answered."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from tests.support.gateway import gateway_with_client, running_gateway
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.scripted_policy import (
-    FIRST_ENDPOINT,
-    SECOND_ENDPOINT,
+    FIRST_ENDPOINT_ID,
+    SECOND_ENDPOINT_ID,
     Reaction,
     ScriptedPolicy,
     forward_to_first,
@@ -81,7 +81,7 @@
 def retry_on_second_endpoint(event: Any) -> list[Action]:
     """Send each request to the first endpoint, then to the second if the attempt never ran."""
     if isinstance(event, AttemptFinished) and event.outcome.never_ran:
-        return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
+        return [StartAttempt(event.request_id, SECOND_ENDPOINT_ID, 0.0)]
     return forward_to_first(event)
 
 
@@ -89,8 +89,8 @@
     """Send each request to the first two endpoints at once."""
     if isinstance(event, Request):
         return [
-            StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
-            StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0),
+            StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0),
+            StartAttempt(event.request_id, SECOND_ENDPOINT_ID, 0.0),
         ]
     return []
 
@@ -102,16 +102,16 @@
 
 
 DRAINING = EndpointUpdate(
-    UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, EndpointState.DRAINING),)
+    UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT_ID, EndpointState.DRAINING),)
 )
-GONE = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, EndpointState.GONE),))
-ABSENT = EndpointUpdate(UpdateKind.SNAPSHOT, LIST_VERSION, (make_record(SECOND_ENDPOINT),))
-RESTARTED = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT, started_at=9.0),))
+GONE = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT_ID, EndpointState.GONE),))
+ABSENT = EndpointUpdate(UpdateKind.SNAPSHOT, LIST_VERSION, (make_record(SECOND_ENDPOINT_ID),))
+RESTARTED = EndpointUpdate(UpdateKind.DELTA, LIST_VERSION, (make_record(FIRST_ENDPOINT_ID, started_at=9.0),))
 
 
 # Guards against a request that is written to an endpoint although an update has reported the endpoint as
-# leaving or restarted while the connection was being opened.  The attempt never ran, so even a request that
-# is not idempotent may be sent to another endpoint.
+# draining, gone or restarted while the connection was being opened.  The attempt never ran, so even a request
+# that is not idempotent may be sent to another endpoint.
 @pytest.mark.parametrize(
     "update",
     [
@@ -122,11 +122,13 @@
     ],
 )
 @async_test
-async def test_waiting_attempt_is_not_sent_to_an_endpoint_that_is_leaving(update: EndpointUpdate) -> None:
-    leaving = FakeEndpoint()
+async def test_waiting_attempt_is_not_sent_to_a_draining_gone_or_restarted_endpoint(
+    update: EndpointUpdate,
+) -> None:
+    updated = FakeEndpoint()
     other = FakeEndpoint(respond_with(b"other"))
     async with (
-        gated_gateway(leaving, other, react=retry_on_second_endpoint) as gateway,
+        gated_gateway(updated, other, react=retry_on_second_endpoint) as gateway,
         HttpClient(gateway.process.listener) as client,
     ):
         waiting = asyncio.create_task(client.send_request(NON_IDEMPOTENT_CLASS))
@@ -140,27 +142,27 @@
         event_types = [type(event) for event in gateway.policy.events]
         assert event_types.index(AttemptFinished) > event_types.index(EndpointUpdate)
         assert gateway.policy.outcomes() == [Outcome.NOT_STARTED, Outcome.OK]
-        await until(lambda: leaving.accepted_connections == 1)
-        assert not leaving.requests
+        await until(lambda: updated.accepted_connections == 1)
+        assert not updated.requests
 
 
-# Guards against a hedged request whose client disconnected while the attempt waited for a connection.
+# Guards against sending a hedged request after its client disconnected while the attempt was waiting.
 @async_test
 async def test_waiting_hedged_request_is_not_sent_after_its_client_disconnected() -> None:
     silent = FakeEndpoint(send_no_response)
     second = FakeEndpoint()
     async with gated_gateway(silent, second, react=hedge_on_second_endpoint) as gateway:
-        gateway.permit_connections_to(FIRST_ENDPOINT)
+        gateway.permit_connections_to(FIRST_ENDPOINT_ID)
         async with HttpClient(gateway.process.listener) as client:
             client.writer.write(client.encode_request())
             await until(lambda: silent.requests and gateway.loop.connect_count == 2)
         await until(lambda: gateway.policy.outcomes() == [Outcome.NOT_STARTED])
         gateway.loop.all_permitted.set()
-        await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT].idle_connections)
+        await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT_ID].idle_connections)
         assert not second.requests
 
 
-# Guards against a request whose client disconnected while the first attempt waited for a connection.
+# Guards against sending a request after its client disconnected while the first attempt was waiting.
 @async_test
 async def test_waiting_attempt_is_not_sent_after_its_client_disconnected() -> None:
     endpoint = FakeEndpoint()
@@ -174,7 +176,7 @@
         assert not listener.budget.open_request_ids
         gateway.loop.all_permitted.set()
         # The new connection is pooled.
-        await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].idle_connections)
+        await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT_ID].idle_connections)
         async with HttpClient(listener) as client:
             assert (await client.send_request(Request_Id="second")).status == 200
         assert request_ids(endpoint.requests) == ["second"]
@@ -184,8 +186,8 @@
     """Send each request to the second endpoint, and a hedged one to the first."""
     if isinstance(event, Request):
         return [
-            StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0),
-            StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0),
+            StartAttempt(event.request_id, SECOND_ENDPOINT_ID, 0.0),
+            StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0),
         ]
     return []
 
@@ -193,7 +195,7 @@
 def attempt_second_then_reject(event: Any) -> list[Action]:
     """Send each request to the second endpoint, and reject it."""
     if isinstance(event, Request):
-        return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0), Reject(event.request_id, 0.0)]
+        return [StartAttempt(event.request_id, SECOND_ENDPOINT_ID, 0.0), Reject(event.request_id, 0.0)]
     return []
 
 
@@ -213,12 +215,12 @@
         gated_gateway(FakeEndpoint(), second, react=react) as gateway,
         HttpClient(gateway.process.listener) as client,
     ):
-        gateway.permit_connections_to(FIRST_ENDPOINT)
+        gateway.permit_connections_to(FIRST_ENDPOINT_ID)
         assert (await client.send_request(Request_Id="once")).status == status
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not gateway.driver.open_requests)
         gateway.loop.all_permitted.set()
-        await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT].idle_connections)
+        await until(lambda: gateway.driver.upstream.pools[SECOND_ENDPOINT_ID].idle_connections)
         assert "once" not in request_ids(second.requests)
 
 
@@ -229,20 +231,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def react(event: Any) -> list[Action]:
-        is_warm_up = isinstance(event, Request) and event.request_id == 1
-        if is_warm_up:
-            return [StartAttempt(event.request_id, SECOND_ENDPOINT, 0.0)]
+        is_first_request = isinstance(event, Request) and event.request_id == 1
+        if is_first_request:  # opens the connection that is reused
+            return [StartAttempt(event.request_id, SECOND_ENDPOINT_ID, 0.0)]
         return attempt_second_then_first(event)
 
     second = FakeEndpoint()
     async with gateway_with_client(FakeEndpoint(), second, react=react, **LONG_CONNECT_TIMEOUT) as gateway:
-        assert (await gateway.client.send_request(Request_Id="warm")).status == 200
+        assert (await gateway.client.send_request(Request_Id="first")).status == 200
         monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.3)
         assert (await gateway.client.send_request(Request_Id="once")).status == 200
         driver = gateway.process.driver
         await until(lambda: Outcome.NOT_STARTED in gateway.policy.outcomes())
         await until(lambda: not driver.open_requests)
-        await until(lambda: driver.upstream.pools[SECOND_ENDPOINT].idle_connections)
+        await until(lambda: driver.upstream.pools[SECOND_ENDPOINT_ID].idle_connections)
         assert "once" not in request_ids(second.requests)
 
 
@@ -262,7 +264,7 @@
     with slow_listener() as slow:
         address = f"{LOOPBACK}:{slow.getsockname()[1]}"
         async with gated_gateway(address, react=forward_to_first) as gateway:
-            pool = gateway.driver.upstream.pools[FIRST_ENDPOINT]
+            pool = gateway.driver.upstream.pools[FIRST_ENDPOINT_ID]
             gateway.loop.has_small_buffers = True
             gateway.loop.all_permitted.set()
             async with HttpClient(gateway.process.listener) as client:
--- a/tests/support/fake_server.py
+++ b/tests/support/fake_server.py
@@ -67,7 +67,7 @@
 
 
 async def server_address(stack: contextlib.AsyncExitStack, server: FakeServer | Handler | str) -> str:
-    """Return the address of a server; unless it is an address already, start it until the stack is closed."""
+    """Return the address of a server, which runs until the stack is closed; return a string unchanged."""
     if isinstance(server, str):
         return server
     handler = server.handle if isinstance(server, FakeServer) else server
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -9,8 +9,8 @@
 from gateway.policy.events import AttemptFinished, Event, Outcome, Request
 
 # Ids of the endpoints of a running gateway, in the order in which the test passes them.
-FIRST_ENDPOINT = 0x00000001
-SECOND_ENDPOINT = 0x00000002
+FIRST_ENDPOINT_ID = 0x00000001
+SECOND_ENDPOINT_ID = 0x00000002
 
 Reaction = Callable[[Any], list[Action]]
 EventT = TypeVar("EventT")
@@ -55,7 +55,7 @@
 def forward_to_first(event: Any) -> list[Action]:
     """Forward each request to the first endpoint, and fail the request if the attempt fails."""
     if isinstance(event, Request):
-        return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)]
+        return [StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0)]
     if isinstance(event, AttemptFinished) and event.outcome is not Outcome.OK:
         return [Fail(event.request_id)]
     return []
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -11,7 +11,7 @@
 from tests.support.gateway import running_gateway
 from tests.support.http_client import HttpClient
 from tests.support.http_messages import Message, http_response, read_message
-from tests.support.scripted_policy import FIRST_ENDPOINT, ScriptedPolicy
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID, ScriptedPolicy
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
@@ -31,10 +31,10 @@
     def react(event: Any) -> list[Action]:
         if isinstance(event, Request):
             waiting.append(event.request_id)
-            return [StartAttempt(event.request_id, FIRST_ENDPOINT, 0.0)] if len(waiting) == 1 else []
+            return [StartAttempt(event.request_id, FIRST_ENDPOINT_ID, 0.0)] if len(waiting) == 1 else []
         if isinstance(event, AttemptFinished):
             waiting.pop(0)
-            next_start: list[Action] = [StartAttempt(waiting[0], FIRST_ENDPOINT, 0.0)] if waiting else []
+            next_start: list[Action] = [StartAttempt(waiting[0], FIRST_ENDPOINT_ID, 0.0)] if waiting else []
             return next_start if event.outcome is Outcome.OK else [Fail(event.request_id), *next_start]
         return []
 
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -6,7 +6,7 @@
 from tests.support.event_loop import async_test, until
 from tests.support.fake_endpoint import FakeEndpoint
 from tests.support.gateway import gateway_with_client
-from tests.support.scripted_policy import FIRST_ENDPOINT
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID
 from tests.support.upstream import echo_request_id
 
 NEW_ENDPOINT_ID = 9
@@ -20,7 +20,7 @@
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.send_request()).status == 200
         upstream = gateway.process.driver.upstream
-        upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST_ENDPOINT].address, 0.0)
+        upstream.set_endpoint(NEW_ENDPOINT_ID, upstream.pools[FIRST_ENDPOINT_ID].address, 0.0)
         await until(lambda: not endpoint.open_connections)
         # The policy still selects the removed endpoint.
         assert (await gateway.client.send_request()).status == 502
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -16,7 +16,7 @@
 from tests.support.gateway import gateway_with_client
 from tests.support.http_client import NON_IDEMPOTENT_CLASS
 from tests.support.http_messages import http_response, read_message
-from tests.support.scripted_policy import FIRST_ENDPOINT
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID
 from tests.support.upstream import echo_request_id, two_clients
 
 if TYPE_CHECKING:
@@ -58,14 +58,14 @@
     async with gateway_with_client(handle) as gateway:
         assert (await gateway.client.send_request(Request_Id="one")).body == b"one"
         upstream = gateway.process.driver.upstream
-        (connection,) = upstream.pools[FIRST_ENDPOINT].idle_connections
+        (connection,) = upstream.pools[FIRST_ENDPOINT_ID].idle_connections
         assert connection.is_usable()
         # The event loop does not run between these lines, so the bytes stay unread in the socket.
         writers[0].write(http_response(body=b"a late second copy"))
         assert not connection.is_usable()
         results: list[Any] = []
         request = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-        upstream.start_attempt(FIRST_ENDPOINT, request, 1.0, results.append)
+        upstream.start_attempt(FIRST_ENDPOINT_ID, request, 1.0, results.append)
         await until(lambda: results)
         assert results[0].body == b"two"
 
@@ -156,7 +156,7 @@
         assert response.status == 200
         assert response.body == b"something"
         assert gateway.policy.outcomes() == [Outcome.OK]
-        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT].idle_connections
+        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT_ID].idle_connections
 
 
 # Guards against forwarding an incomplete response: a reset does not complete a close-delimited response.
@@ -175,4 +175,4 @@
         assert response.status == 502
         assert response.body == b""
         assert gateway.policy.outcomes() == [Outcome.RESET]
-        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT].idle_connections
+        assert not gateway.process.driver.upstream.pools[FIRST_ENDPOINT_ID].idle_connections
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -12,7 +12,7 @@
 from tests.support.gateway import running_gateway
 from tests.support.http_client import NON_IDEMPOTENT_CLASS, HttpClient
 from tests.support.http_messages import read_message
-from tests.support.scripted_policy import FIRST_ENDPOINT, forward_to_first
+from tests.support.scripted_policy import FIRST_ENDPOINT_ID, forward_to_first
 from tests.support.upstream import echo_request_id, two_clients
 
 if TYPE_CHECKING:
@@ -47,9 +47,8 @@
     endpoint = DuplicatingEndpoint()
     async with two_clients(endpoint.handle) as clients, asyncio.TaskGroup() as group:
         responses_of_both = group.create_task(clients.send_both_requests())
-        await until(
-            clients.policy.outcomes
-        )  # the policy starts the second attempt when the first has finished
+        # The policy starts the second attempt when the first has finished.
+        await until(clients.policy.outcomes)
         endpoint.may_duplicate.set()
         responses = await responses_of_both
         assert [response.status for response in responses] == [200, 200]
@@ -70,7 +69,7 @@
         async with HttpClient(gateway.listener) as client:
             assert (await client.send_request(Request_Id="one")).body == b"one"
             client.writer.write(client.encode_request(NON_IDEMPOTENT_CLASS, Request_Id="two"))
-            await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT].waiting_attempts)
+            await until(lambda: gateway.driver.upstream.pools[FIRST_ENDPOINT_ID].waiting_attempts)
         await until(lambda: policy.events_of_type(ClientDisconnected))
         assert policy.outcomes() == [Outcome.OK, Outcome.NOT_STARTED]
         async with HttpClient(gateway.listener) as client:
