--- a/gateway/driver/open_requests.py
+++ b/gateway/driver/open_requests.py
@@ -35,7 +35,7 @@
 
     @property
     def unanswered_count(self) -> int:
-        """The number of requests that are not closed yet."""
+        """The number of requests that still need a response."""
         return sum(not request.is_closed for request in self._requests.values())
 
     def get(self, request_id: int) -> OpenRequest | None:
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -78,8 +78,8 @@
     def is_usable(self) -> bool:
         """Return whether an idle connection can be used for another attempt.
 
-        A socket that is readable before the request is written holds no response to that request, but a
-        duplicate of the last response, garbage or the end of the stream.
+        A socket that is readable before the request is written has received a duplicate of the last response,
+        garbage or the end of the stream, but no response to that request.
         """
         return self.is_open and not self.poller.poll(0)
 
@@ -121,7 +121,7 @@
             self.finish_attempt()
 
     def eof_received(self) -> None:
-        """Complete a close-delimited response; asyncio does not call this method on a reset."""
+        """Complete a close-delimited response; the event loop does not call this method on a reset."""
         if self.attempt is None or self.attempt.abandon_outcome is not None:
             return
         self.parser.feed_eof()
@@ -160,5 +160,5 @@
         attempt = self.attempt
         if attempt is not None:
             self.attempt = None
-            # asyncio closes the file descriptor after this method returns; a retry must not start before.
+            # The event loop closes the descriptor after this method returns; a retry must start later.
             self.pool.loop.call_soon(attempt.fail, attempt.outcome_of_lost_connection())
--- a/tests/frontend/test_client_connection.py
+++ b/tests/frontend/test_client_connection.py
@@ -12,7 +12,7 @@
 DISCARD_COUNT = 20  # number of times that the client sends MAX_DISCARDED_BYTES
 
 
-# Guards against request smuggling: an endpoint could take the end of the body from the other header.
+# Guards against request smuggling: an endpoint could determine the end of the body by the other header.
 @pytest.mark.parametrize(
     "length_first", [pytest.param(True, id="length first"), pytest.param(False, id="coding first")]
 )
--- a/tests/process/test_client_disconnects.py
+++ b/tests/process/test_client_disconnects.py
@@ -35,8 +35,8 @@
     return has_unsent_responses and gateway.driver.open_requests.unanswered_count == 1
 
 
-# Guards against a disconnect that goes unnoticed while the gateway does not read from a client that does not
-# read its responses.  No attempt may start for that client any more.
+# Guards against a disconnect that is not detected while reading from a client is paused, because the client
+# does not read its responses.  No attempt may start for that client any more.
 @async_test
 async def test_disconnect_of_a_write_blocked_client_is_detected() -> None:
     endpoint = FakeEndpoint(respond_with(LARGE_BODY))
@@ -48,9 +48,9 @@
         assert not gateway.driver.open_requests
 
 
-# Guards against a half-close that goes unnoticed while responses are unsent: either they are below the
-# high-water mark of the write buffer, or the gateway has stopped reading from the client.  No attempt may
-# start for that client any more.
+# Guards against a half-close that is not detected while responses are unsent.  If the unsent bytes are below
+# the high-water mark of the write buffer, the gateway still reads from the client, otherwise it has paused
+# reading.  No attempt may start for that client any more.
 @pytest.mark.parametrize(
     "high_water_bytes",
     [pytest.param(None, id="not read"), pytest.param(HIGH_WATER_BYTES, id="below the mark")],
--- a/tests/upstream/test_client.py
+++ b/tests/upstream/test_client.py
@@ -13,7 +13,7 @@
 
 
 # Guards against sending attempts for a removed endpoint to a new endpoint that listens on the same address:
-# the new endpoint is warming up and does not have the other's stored responses for idempotency keys.
+# the new endpoint is warming up and does not have the removed endpoint's responses for idempotency keys.
 @async_test
 async def test_attempts_for_a_removed_endpoint_do_not_reach_a_new_endpoint_at_its_address() -> None:
     endpoint = FakeEndpoint(echo_request_id)
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -44,8 +44,8 @@
         assert endpoint.accepted_connections == 2  # the first connection must not be reused
 
 
-# Guards against the same failure if the bytes arrive while the connection is idle, and the event loop has not
-# read them when the next attempt needs a connection.
+# Guards against forwarding bytes that arrived while the connection was idle as the next response: the event
+# loop may not have read them when the next attempt needs a connection.
 @async_test
 async def test_an_idle_connection_with_unread_bytes_is_not_used() -> None:
     writers: list[asyncio.StreamWriter] = []
@@ -102,7 +102,7 @@
     endpoint = FakeEndpoint(lambda _message: malformed)
     async with gateway_with_client(endpoint) as gateway:
         assert (await gateway.client.send_request()).status == 502
-        # Not RESET, which makes the policy avoid the endpoint: one that sends malformed responses is up.
+        # Not RESET, which makes the policy avoid the endpoint, although the endpoint is up.
         assert gateway.policy.outcomes() == [Outcome.ERROR]
         assert not Outcome.ERROR.never_ran  # the endpoint may have executed the request
         (finished,) = gateway.policy.events_of_type(AttemptFinished)
