--- a/gateway/policy/engine.py
+++ b/gateway/policy/engine.py
@@ -1,4 +1,4 @@
-"""The policy of one gateway.  Its settings, events and actions are defined in the modules of these names."""
+"""The policy of one gateway; gateway/policy/{settings,events,actions}.py define its inputs and outputs."""
 
 from __future__ import annotations
 
