--- a/gateway/frontend/client_connection.py
+++ b/gateway/frontend/client_connection.py
@@ -34,16 +34,16 @@
     half_closed: WaitQueue[ClientConnection]
     is_stopping: bool
 
-    def add(self, client: ClientConnection) -> None:
+    def add(self, connection: ClientConnection) -> None:
         """Register a new connection."""
 
-    def remove(self, client: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """Remove a connection that is lost."""
 
-    def mark_write_blocked(self, client: ClientConnection) -> None:
+    def mark_write_blocked(self, connection: ClientConnection) -> None:
         """Record that reading from a connection is paused, as its client does not read its responses."""
 
-    def unmark_write_blocked(self, client: ClientConnection) -> None:
+    def unmark_write_blocked(self, connection: ClientConnection) -> None:
         """Record that reading from a connection is resumed."""
 
 
--- a/gateway/frontend/connection_table.py
+++ b/gateway/frontend/connection_table.py
@@ -64,24 +64,24 @@
         """Whether there are so many connections that requests are rejected."""
         return len(self.connections) > self.max_connections
 
-    def add(self, client: ClientConnection) -> None:
+    def add(self, connection: ClientConnection) -> None:
         """Add a new connection; above the maximum, evict a connection without pending requests."""
-        self.connections.add(client)
+        self.connections.add(connection)
         if not self.has_too_many_connections:
             return
         # If there is nothing to evict, the new connection stays open within the surplus and its request gets
         # an error response.  Closing the connection at once could lose a request without any response.
-        evicted = self.choose_connection_to_evict(client)
+        evicted = self.choose_connection_to_evict(connection)
         if evicted is None and len(self.connections) > self.max_connections + self.surplus_connections:
-            evicted = client
+            evicted = connection
         if evicted is not None:
             self.connections.discard(evicted)
             evicted.abort()
 
-    def remove(self, client: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """Remove a connection that is lost."""
-        self.connections.discard(client)
-        self.write_blocked.discard(client)
+        self.connections.discard(connection)
+        self.write_blocked.discard(connection)
 
     def choose_connection_to_evict(self, newest: ClientConnection) -> ClientConnection | None:
         """Return a connection to evict in favour of the newest one, or None if none is suitable.
@@ -112,22 +112,22 @@
 
     # --- clients that do not read their responses --------------------------------------------------
 
-    def mark_write_blocked(self, client: ClientConnection) -> None:
+    def mark_write_blocked(self, connection: ClientConnection) -> None:
         """Record that reading from a connection is paused, as its client does not read its responses."""
-        self.write_blocked.add(client)
+        self.write_blocked.add(connection)
 
-    def unmark_write_blocked(self, client: ClientConnection) -> None:
+    def unmark_write_blocked(self, connection: ClientConnection) -> None:
         """Record that reading from a connection is resumed."""
-        self.write_blocked.discard(client)
+        self.write_blocked.discard(connection)
 
     def _detect_disconnects(self) -> None:
         """Handle clients that have disconnected while reading from them is paused.
 
         The event loop does not report such a disconnect, because it would have to read the bytes before it.
         """
-        for client in [blocked for blocked in self.write_blocked if blocked.socket.has_peer_closed()]:
-            self.write_blocked.discard(client)
-            client.eof_received()
+        for connection in [blocked for blocked in self.write_blocked if blocked.socket.has_peer_closed()]:
+            self.write_blocked.discard(connection)
+            connection.eof_received()
         self._disconnect_timer = self._loop.call_later(DISCONNECT_POLL_SECONDS, self._detect_disconnects)
 
     # --- timeouts ----------------------------------------------------------------------------------
@@ -142,12 +142,12 @@
         """Close connections whose request is overdue, with an error response if any bytes were received."""
         error = RequestTimeoutError("the request was not received completely within the time limit")
         for queue in (self.new_connections, self.receiving):
-            for client in _pop_overdue(queue, READ_TIMEOUT_SECONDS):
+            for connection in _pop_overdue(queue, READ_TIMEOUT_SECONDS):
                 # Bytes before a request, such as empty lines, get an error response too.
-                if client.reader.is_receiving or client.reader.bytes_since_request:
-                    client.reject(error)
+                if connection.reader.is_receiving or connection.reader.bytes_since_request:
+                    connection.reject(error)
                 else:
-                    client.abort()
+                    connection.abort()
 
     def _close_overdue_idle(self) -> None:
         """Close connections that are idle for too long, or whose client does not read its last response.
@@ -159,31 +159,33 @@
         idle_timeout = CROWDED_IDLE_TIMEOUT_SECONDS if is_crowded else IDLE_TIMEOUT_SECONDS
         timeouts = ((self.idle_connections, idle_timeout), (self.half_closed, HALF_CLOSED_TIMEOUT_SECONDS))
         for queue, timeout in timeouts:
-            for client in _pop_overdue(queue, timeout):
-                if client.has_unread_bytes():
-                    client.move_to_queue(self.idle_connections)
+            for connection in _pop_overdue(queue, timeout):
+                if connection.has_unread_bytes():
+                    connection.move_to_queue(self.idle_connections)
                 else:
-                    client.abort()  # `close` would wait for a client that never reads its last response
+                    connection.abort()  # `close` would wait for a client that never reads its last response
 
     # --- shutdown ----------------------------------------------------------------------------------
 
     def stop(self) -> None:
         """Close idle connections now, and all others once they have no pending requests."""
         self.is_stopping = True
-        for client in [*self.idle_connections, *self.new_connections]:
-            if not client.reader.is_receiving and not client.has_unread_bytes():
-                client.socket.close()
+        for connection in [*self.idle_connections, *self.new_connections]:
+            if not connection.reader.is_receiving and not connection.has_unread_bytes():
+                connection.socket.close()
 
     def has_incoming_requests(self) -> bool:
         """Return whether any client has sent part of a request, or bytes that are not read yet."""
         queues = (self.receiving, self.new_connections, self.idle_connections)
         return any(
-            client.reader.is_receiving or client.has_unread_bytes() for queue in queues for client in queue
+            connection.reader.is_receiving or connection.has_unread_bytes()
+            for queue in queues
+            for connection in queue
         )
 
     def has_unsent_responses(self) -> bool:
         """Return whether any response is not handed to the system completely."""
-        return any(client.socket.unsent_bytes for client in self.connections)
+        return any(connection.socket.unsent_bytes for connection in self.connections)
 
     def reject_incomplete_requests(self) -> None:
         """Send an error response to incomplete requests, because the process is about to exit.
@@ -192,18 +194,18 @@
         reset for unread bytes could overtake the response.
         """
         error = UnavailableError("the gateway is shutting down")
-        for client in list(self.connections):
-            if client.reader.is_receiving or client.has_unread_bytes():
-                client.reject(error)
-            elif not client.reader.is_closed and not client.pending_exchanges:
-                client.socket.close()
+        for connection in list(self.connections):
+            if connection.reader.is_receiving or connection.has_unread_bytes():
+                connection.reject(error)
+            elif not connection.reader.is_closed and not connection.pending_exchanges:
+                connection.socket.close()
 
     def close(self) -> None:
         """Close each connection once all bytes written to it are sent."""
         self._timeout_timer.cancel()
         self._disconnect_timer.cancel()
-        for client in list(self.connections):
-            client.socket.close()
+        for connection in list(self.connections):
+            connection.socket.close()
 
 
 def _pop_overdue(queue: WaitQueue[ClientConnection], timeout: float) -> Iterator[ClientConnection]:
