--- a/scaletest/membership.py
+++ b/scaletest/membership.py
@@ -33,14 +33,14 @@
     from gateway.policy.engine import Policy
     from scaletest.scenario import Scenario, Size
 
-# The unit of each figure.  Result files contain these names.
+# The unit of each figure.  Result files contain these names and units, so both stay as they are.
 UNITS = {
-    "change": "ms of CPU time per delta with one changed endpoint",
-    "whole": "ms of CPU time per snapshot without changes",
-    "first": "ms of CPU time for the first snapshot",
-    "request": "us of CPU time per request and its outcome",
-    "memory": "bytes per endpoint",
-    "list": "bytes per snapshot",
+    "change": "ms of processor time for one changed endpoint",
+    "whole": "ms of processor time for a whole list that changes nothing",
+    "first": "ms of processor time for a first whole list",
+    "request": "us of processor time for a request and its outcome",
+    "memory": "bytes an endpoint",
+    "list": "bytes of the whole list",
 }
 MS_PER_SECOND = 1e3
 US_PER_SECOND = 1e6
